--- a/src/main/java/loadbalancer/membership/Membership.java
+++ b/src/main/java/loadbalancer/membership/Membership.java
@@ -58,7 +58,7 @@
     }
 
     /** Whether discovery has responded. */
-    public boolean confirmed() {
+    public boolean isConfirmedByDiscovery() {
         return confirmed;
     }
 
--- a/src/main/java/loadbalancer/operator/OperatorSummary.java
+++ b/src/main/java/loadbalancer/operator/OperatorSummary.java
@@ -125,8 +125,8 @@
                 + "; a lost one is tried every "
                 + seconds(zones.trialIntervalMicros())
                 + ", others take over at most twice as much in " + seconds(zones.rateDoublingMicros()) + "; "
-                + zones.maxKeys()
-                + " keys are remembered for " + seconds(zones.keyRetentionMicros());
+                + zones.maxIdempotencyKeys()
+                + " keys are remembered for " + seconds(zones.idempotencyKeyRetentionMicros());
     }
 
     private static String subset(SubsetOptions subset) {
--- a/src/main/java/loadbalancer/operator/PolicyFile.java
+++ b/src/main/java/loadbalancer/operator/PolicyFile.java
@@ -39,8 +39,8 @@
                     configured.rateDoublingMicros(),
                     configured.trialIntervalMicros(),
                     configured.penaltyHalfLifeMicros(),
-                    configured.maxKeys(),
-                    configured.keyRetentionMicros());
+                    configured.maxIdempotencyKeys(),
+                    configured.idempotencyKeyRetentionMicros());
         }
     }
 
--- a/src/main/java/loadbalancer/sidecar/EndpointService.java
+++ b/src/main/java/loadbalancer/sidecar/EndpointService.java
@@ -139,7 +139,7 @@
     }
 
     private void runChecks() {
-        if (!stopped && !membership.confirmed() && membership.unverifiedCount() > 0) {
+        if (!stopped && !membership.isConfirmedByDiscovery() && membership.unverifiedCount() > 0) {
             beginDueChecks();
             timers.schedule(CHECK_INTERVAL_MICROS, this::runChecks);
         }
--- a/src/main/java/loadbalancer/zones/ZoneOptions.java
+++ b/src/main/java/loadbalancer/zones/ZoneOptions.java
@@ -14,8 +14,8 @@
  * @param rateDoublingMicros     shortest time in which the rate to a zone may double after a loss and on its return
  * @param trialIntervalMicros    mean time between one sidecar's trial requests to an excluded zone
  * @param penaltyHalfLifeMicros  half-life of a flapping zone's penalty
- * @param maxKeys                idempotency keys remembered at most
- * @param keyRetentionMicros     how long a key is remembered; longer than any client retries
+ * @param maxIdempotencyKeys                idempotency keys remembered at most
+ * @param idempotencyKeyRetentionMicros     how long a key is remembered; longer than any client retries
  */
 public record ZoneOptions(
         List<List<String>> tiers,
@@ -26,8 +26,8 @@
         long rateDoublingMicros,
         long trialIntervalMicros,
         long penaltyHalfLifeMicros,
-        int maxKeys,
-        long keyRetentionMicros) {
+        int maxIdempotencyKeys,
+        long idempotencyKeyRetentionMicros) {
 
     /** These options with what can change without a restart, tiers and drained zones, taken from {@code reloaded}. */
     ZoneOptions reloadedFrom(ZoneOptions reloaded) {
@@ -40,7 +40,7 @@
                 rateDoublingMicros,
                 trialIntervalMicros,
                 penaltyHalfLifeMicros,
-                maxKeys,
-                keyRetentionMicros);
+                maxIdempotencyKeys,
+                idempotencyKeyRetentionMicros);
     }
 }
--- a/src/main/java/loadbalancer/zones/ZoneRouting.java
+++ b/src/main/java/loadbalancer/zones/ZoneRouting.java
@@ -62,7 +62,7 @@
                 .orElse(0);
         settings.zones()
                 .forEach(zone -> zonesByName.put(zone, new TrackedZone(zone, options, settings.rules(), nowMicros)));
-        ledger = new IdempotencyLedger(options.maxKeys(), options.keyRetentionMicros());
+        ledger = new IdempotencyLedger(options.maxIdempotencyKeys(), options.idempotencyKeyRetentionMicros());
         startedMicros = nowMicros;
     }
 
@@ -317,7 +317,7 @@
      */
     private boolean isUnknownRetry(long nowMicros, RequestClass requestClass, Request request) {
         return request.retriedByClient()
-                && nowMicros - startedMicros < options.keyRetentionMicros()
+                && nowMicros - startedMicros < options.idempotencyKeyRetentionMicros()
                 && requestClass.idempotencyScope() != IdempotencyScope.ALL
                 && !ledger.mayHaveRun(requestClass, request.idempotencyKey());
     }
--- a/src/test/java/loadbalancer/membership/MembershipTest.java
+++ b/src/test/java/loadbalancer/membership/MembershipTest.java
@@ -187,7 +187,7 @@
         assertEquals(List.of("u1"), ids(change));
         assertEquals(Uncertainty.NONE, change.endpoints().get(0).upstream().uncertainty());
         assertEquals(0, change.endpoints().get(0).upstream().latestStartMicros());
-        assertTrue(membership.confirmed());
+        assertTrue(membership.isConfirmedByDiscovery());
         assertEquals(0, membership.unverifiedCount());
         assertEquals(43, membership.generation());
     }
@@ -218,7 +218,7 @@
         EndpointChange change = membership.onDiscoveryList(NOW, discovered(60, true));
         assertTrue(change.isEmpty());
         assertEquals(1, membership.size());
-        assertFalse(membership.confirmed());
+        assertFalse(membership.isConfirmedByDiscovery());
         assertEquals(41, membership.generation());
     }
 
