--- a/src/main/java/loadbalancer/membership/Endpoint.java
+++ b/src/main/java/loadbalancer/membership/Endpoint.java
@@ -3,13 +3,13 @@
 import loadbalancer.balancing.Balancer.Upstream;
 
 /**
- * One upstream and where it listens, as a source listed it.
+ * An upstream and the addresses where it listens, as a source listed them.
  *
- * @param address     {@code ip:port} in numbers, checked by the source
- * @param grpcAddress the same for gRPC; null where it does not serve gRPC
+ * @param address     numeric {@code ip:port}, validated by the source
+ * @param grpcAddress the same for gRPC; null if the upstream does not serve gRPC
  */
 public record Endpoint(Upstream upstream, String address, String grpcAddress) {
-    /** An endpoint that serves HTTP/1.1 alone. */
+    /** Creates an endpoint that serves only HTTP/1.1. */
     public Endpoint(Upstream upstream, String address) {
         this(upstream, address, null);
     }
@@ -18,7 +18,7 @@
         return upstream.id();
     }
 
-    /** The same addresses with another description of the upstream. */
+    /** Returns an endpoint with the same addresses and another description of the upstream. */
     public Endpoint withUpstream(Upstream other) {
         return new Endpoint(other, address, grpcAddress);
     }
--- a/src/main/java/loadbalancer/membership/EndpointChecks.java
+++ b/src/main/java/loadbalancer/membership/EndpointChecks.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Bounds the checks of unverified endpoints by a token bucket: most endpoints of a stale list may be dead, and strangers may listen at
- * their addresses. A check that succeeds returns its token, so a list that is right after all is verified as fast as its endpoints
- * respond.
+ * Limits the checks of unverified endpoints with a token bucket: most endpoints of a stale list may be dead, and
+ * unrelated servers may listen at their addresses. A check that succeeds returns its token, so a list that is still
+ * correct is verified as fast as its endpoints respond.
  */
 final class EndpointChecks {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -19,22 +19,22 @@
     private final StalenessPolicy policy;
     private final SplittableRandom random;
     private double tokens;
-    private long tokensMicros;
+    private long refilledMicros;
     private int inFlight;
 
     EndpointChecks(StalenessPolicy policy, long seed, long nowMicros) {
         this.policy = policy;
         random = new SplittableRandom(seed);
         tokens = policy.maxConcurrentChecks();
-        tokensMicros = nowMicros;
+        refilledMicros = nowMicros;
     }
 
-    /** Begins checks of those that are due, as many as the bounds allow. */
+    /** Begins the checks that are due, as many as the limits allow, and returns their endpoints. */
     List<Endpoint> begin(long nowMicros, Collection<EndpointEntry> entries) {
         tokens = Math.min(
                 policy.maxConcurrentChecks(),
-                tokens + (nowMicros - tokensMicros) * policy.checksPerSecond() / MICROS_PER_SECOND);
-        tokensMicros = nowMicros;
+                tokens + (nowMicros - refilledMicros) * policy.checksPerSecond() / MICROS_PER_SECOND);
+        refilledMicros = nowMicros;
         if (isExhausted()) {
             return List.of();
         }
@@ -55,7 +55,10 @@
         return tokens < 1 || inFlight >= policy.maxConcurrentChecks();
     }
 
-    /** Endpoints that failed least come first; the order among equals is random, so that a fleet does not check one node at once. */
+    /**
+     * Endpoints whose check is due, those with the fewest failed checks first. The order among equals is random, so
+     * that the sidecars of a fleet do not all check the same endpoint at once.
+     */
     private List<EndpointEntry> due(long nowMicros, Collection<EndpointEntry> entries) {
         List<EndpointEntry> due = new ArrayList<>();
         for (EndpointEntry entry : entries) {
@@ -69,13 +72,13 @@
         return due;
     }
 
-    /** A check has found an upstream. */
+    /** Handles a check that found an upstream. */
     void succeeded(EndpointEntry entry) {
         end(entry);
         tokens = Math.min(policy.maxConcurrentChecks(), tokens + 1);
     }
 
-    /** A check has found none: it is repeated after a jittered delay that doubles each time. */
+    /** Handles a check that found no upstream: it is repeated after a delay with jitter, which doubles each time. */
     void failed(long nowMicros, EndpointEntry entry) {
         end(entry);
         long delayMicros = entry.retryDelayMicros();
@@ -87,7 +90,7 @@
         inFlight--;
     }
 
-    /** Discovery has responded: results of checks that are in flight no longer count. */
+    /** Stops waiting for checks in flight, whose results have no effect once discovery has responded. */
     void abandonAll() {
         inFlight = 0;
     }
--- a/src/main/java/loadbalancer/membership/EndpointEntry.java
+++ b/src/main/java/loadbalancer/membership/EndpointEntry.java
@@ -4,19 +4,21 @@
 import loadbalancer.balancing.Balancer.Upstream;
 import loadbalancer.balancing.Balancer.UpstreamState;
 
-/** One endpoint of the list, with what is known of it beyond the list. Times in microseconds. */
+/**
+ * One endpoint of the list and its state: whether it is verified, its slow start and its checks. Times in microseconds.
+ */
 final class EndpointEntry {
-    /** Before the second check of an endpoint that failed its first. */
+    /** Mean delay between the first check, if it fails, and the second one. */
     private static final long INITIAL_RETRY_DELAY_MICROS = 1_000_000;
 
     private static final long MAX_RETRY_DELAY_MICROS = 30_000_000;
 
     enum State {
-        /** By discovery, or by a list of any age where the policy accepts all. */
+        /** Listed by discovery, or by any list if the policy accepts lists of any age. */
         LISTED,
-        /** By a fresh list, or verified; not confirmed by discovery. */
+        /** Listed by a fresh list, or verified by a check; not confirmed by discovery. */
         IN_USE,
-        /** By a stale list: withheld until a check verifies it. */
+        /** Listed by a stale list: withheld until a check verifies it. */
         UNVERIFIED
     }
 
@@ -24,8 +26,8 @@
     private State state;
     private Uncertainty uncertainty = Uncertainty.NONE;
     private long slowStartFromMicros;
-    /** When nothing listened there last; 0 for never. */
-    private long processGoneMicros;
+    /** When the process was last found to have exited, rounded up to the grid of restarts; 0 for never. */
+    private long processExitMicros;
 
     private boolean checkInFlight;
     private long nextCheckMicros;
@@ -57,11 +59,11 @@
         return slowStartFromMicros;
     }
 
-    long processGoneMicros() {
-        return processGoneMicros;
+    long processExitMicros() {
+        return processExitMicros;
     }
 
-    boolean checkInFlight() {
+    boolean isCheckInFlight() {
         return checkInFlight;
     }
 
@@ -69,12 +71,15 @@
         return retryDelayMicros;
     }
 
-    /** Discovery describes the endpoint anew. */
+    /** Replaces the description of the endpoint by discovery's latest one. */
     void update(Endpoint listed) {
         endpoint = listed;
     }
 
-    /** Discovery has confirmed the endpoint. When its process was last gone still counts. */
+    /**
+     * Marks the endpoint as confirmed by discovery. Keeps {@link #processExitMicros}, which discovery may not have
+     * noticed yet.
+     */
     void confirm() {
         state = State.LISTED;
         uncertainty = Uncertainty.NONE;
@@ -82,7 +87,10 @@
         checkInFlight = false;
     }
 
-    /** A check has found an upstream; whatever the list's age, it may have started since. */
+    /**
+     * Records that a check found an upstream. Slow start begins now, because it may have started after the list was
+     * made.
+     */
     void verify(long nowMicros, Uncertainty remaining) {
         state = State.IN_USE;
         uncertainty = remaining;
@@ -97,8 +105,8 @@
         slowStartFromMicros = nowMicros;
     }
 
-    void processGone(long atMicros) {
-        processGoneMicros = atMicros;
+    void processExited(long atMicros) {
+        processExitMicros = atMicros;
     }
 
     boolean isCheckDue(long nowMicros) {
@@ -116,16 +124,23 @@
         checkInFlight = false;
     }
 
-    /** @param delayMicros within the bounds of the current retry delay, which doubles */
+    /**
+     * Schedules the next check and doubles the retry delay.
+     *
+     * @param delayMicros time until the next check: the current retry delay with jitter
+     */
     void retryCheck(long nowMicros, long delayMicros) {
         nextCheckMicros = nowMicros + delayMicros;
         retryDelayMicros = Math.min(MAX_RETRY_DELAY_MICROS, 2 * retryDelayMicros);
     }
 
-    /** The endpoint for the balancer: in slow start from {@code returnedMicros} at the earliest, and draining while out of service. */
-    Endpoint present(boolean outOfService, long returnedMicros) {
+    /**
+     * The endpoint as the balancer gets it: draining while out of service, in slow start from {@code returnedMicros} or
+     * later.
+     */
+    Endpoint effectiveEndpoint(boolean outOfService, long returnedMicros) {
         Upstream listed = endpoint.upstream();
-        boolean drains = outOfService && listed.state() == UpstreamState.READY;
+        boolean draining = outOfService && listed.state() == UpstreamState.READY;
         return endpoint.withUpstream(new Upstream(
                 listed.id(),
                 listed.zone(),
@@ -133,9 +148,9 @@
                 listed.cell(),
                 listed.startedMicros(),
                 listed.weight(),
-                drains ? UpstreamState.DRAINING : listed.state(),
+                draining ? UpstreamState.DRAINING : listed.state(),
                 uncertainty,
-                Math.max(Math.max(slowStartFromMicros, processGoneMicros), returnedMicros),
+                Math.max(Math.max(slowStartFromMicros, processExitMicros), returnedMicros),
                 listed.protocols()));
     }
 }
--- a/src/main/java/loadbalancer/membership/EndpointEvidence.java
+++ b/src/main/java/loadbalancer/membership/EndpointEvidence.java
@@ -1,15 +1,15 @@
 package loadbalancer.membership;
 
-/** What a check of an unverified endpoint showed. */
+/** The result of a check of an unverified endpoint. */
 public enum EndpointEvidence {
-    /** It responds as an upstream does, if perhaps not as the one that was listed. */
+    /** An upstream responds at the address, though not necessarily the one that was listed. */
     RESPONDS_AS_UPSTREAM,
-    /** It accepts connections, and the site allows no health check that would show more. */
+    /** Connections are accepted, and the site allows no health check that would show more. */
     ACCEPTS_CONNECTIONS,
-    /** Nothing listens there. */
+    /** Connections are refused: nothing listens at the address. */
     REFUSES_CONNECTIONS,
-    /** It responds, but not as an upstream. */
+    /** Another kind of server responds at the address. */
     NOT_AN_UPSTREAM,
-    /** The connection is not established, or nothing arrives on it. */
+    /** The connection was not established, or no response arrived on it. */
     NO_RESPONSE
 }
--- a/src/main/java/loadbalancer/membership/ListDescription.java
+++ b/src/main/java/loadbalancer/membership/ListDescription.java
@@ -1,6 +1,6 @@
 package loadbalancer.membership;
 
-/** Endpoint lists and their ages, as lines of the log name them. */
+/** Describes endpoint lists and their ages for the log. */
 final class ListDescription {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MINUTE_SECONDS = 60;
@@ -10,22 +10,22 @@
     private ListDescription() {}
 
     static String of(EndpointList list) {
-        String origin = list.source() == ListSource.DISK ? "on disk" : "that it was given";
+        String origin = list.source() == ListSource.DISK ? "on disk" : "from the configuration";
         return origin + " (version " + list.generation() + ")";
     }
 
-    /** The age in the largest unit of which there are two at least. */
+    /** The age in the largest unit that gives a number of at least 2, such as {@code "31 h old"}. */
     static String age(long nowMicros, long asOfMicros) {
         long seconds = (nowMicros - asOfMicros) / MICROS_PER_SECOND;
         if (asOfMicros <= 0 || seconds < 0) {
-            return "of unknown age, perhaps long";
+            return "of unknown age";
         }
         if (seconds < 2 * MINUTE_SECONDS) {
-            return seconds + " s";
+            return seconds + " s old";
         }
         if (seconds < 2 * HOUR_SECONDS) {
-            return seconds / MINUTE_SECONDS + " min";
+            return seconds / MINUTE_SECONDS + " min old";
         }
-        return seconds < 2 * DAY_SECONDS ? seconds / HOUR_SECONDS + " h" : seconds / DAY_SECONDS + " days";
+        return seconds < 2 * DAY_SECONDS ? seconds / HOUR_SECONDS + " h old" : seconds / DAY_SECONDS + " days old";
     }
 }
--- a/src/main/java/loadbalancer/membership/ListSource.java
+++ b/src/main/java/loadbalancer/membership/ListSource.java
@@ -1,11 +1,11 @@
 package loadbalancer.membership;
 
-/** Where an endpoint list comes from. Only {@link #DISCOVERY} can say that an upstream is gone. */
+/** Where an endpoint list comes from. Only lists from {@link #DISCOVERY} can remove an upstream. */
 public enum ListSource {
     /** The sidecar's configuration at its start. */
     CONFIGURED,
-    /** A file that an earlier sidecar wrote. */
+    /** A file that an earlier process of the sidecar wrote. */
     DISK,
-    /** Discovery's response. */
+    /** A response from discovery. */
     DISCOVERY
 }
--- a/src/main/java/loadbalancer/membership/Membership.java
+++ b/src/main/java/loadbalancer/membership/Membership.java
@@ -14,23 +14,27 @@
 import loadbalancer.membership.StalenessPolicy.Staleness;
 
 /**
- * The endpoint list, merged from its sources. It does no I/O and reads no clock: the caller hands it lists, results of checks and the
- * time (Unix time in microseconds), and passes on each {@link EndpointChange} that it returns.
+ * Merges the endpoint lists of all sources into the one that the sidecar uses. Does no I/O and reads no clock: the
+ * caller passes in lists, check results and the time (Unix time in microseconds), and publishes each
+ * {@link EndpointChange} that is returned.
  *
- * <p>At the start the newest list at hand is the base. By its age it is used as it is, or its endpoints are withheld until a check has
- * verified that an upstream responds at their address. Once discovery has responded its list alone counts, and nothing is in doubt any
- * more.
+ * <p>At the start the newest available list becomes the base. Depending on its age, its endpoints are used at once or
+ * are withheld until a check has verified that an upstream responds at their address. After discovery's first response
+ * only its list counts, and all of its endpoints are confirmed.
  *
- * <p>Whatever the age of a list, a process may have started since. So endpoints that discovery has not confirmed are in slow start from
- * the moment they come into use ({@link Upstream#slowStartFromMicros}).
+ * <p>A process may have started after any list was made, however recent the list is. Endpoints that discovery has not
+ * confirmed are therefore in slow start from the moment they come into use ({@link Upstream#slowStartFromMicros}).
  */
 public final class Membership {
-    /** Endpoints of a longer list are ignored, so that a broken source can't exhaust the memory. */
+    /** Endpoints beyond this number are ignored, so that a broken source can't exhaust the memory. */
     static final int MAX_ENDPOINTS = 10_000;
 
-    /** Failed connections so close together belong to one restart. */
+    /** A connection that fails within this time of the start of a slow start is attributed to the same restart. */
     private static final long RESTART_WINDOW_MICROS = 100_000;
-    /** Sidecars see a process end at different times; those within one step of this grid agree on its slow start. */
+    /**
+     * Times of process exits are rounded up to this grid, so that sidecars that notice one at different times agree on
+     * its slow start.
+     */
     private static final long RESTART_GRID_MICROS = 500_000;
 
     private final StalenessPolicy stalenessPolicy;
@@ -39,20 +43,20 @@
     private final Map<String, EndpointEntry> entries = new LinkedHashMap<>();
     private long generation;
     private boolean confirmed;
-    /** Whether discovery responds, and so will report restarts. */
+    /** Whether the last call to discovery succeeded, so that discovery is expected to report restarts. */
     private boolean discoveryResponding;
 
     /**
-     * An empty list.
+     * Creates an empty endpoint list.
      *
-     * @param seed of the order and the delays of checks
+     * @param seed random seed for the order and the retry delays of checks
      */
     public Membership(StalenessPolicy stalenessPolicy, long seed, long nowMicros) {
         this.stalenessPolicy = stalenessPolicy;
         checks = new EndpointChecks(stalenessPolicy, seed, nowMicros);
     }
 
-    /** Version of the base, or of discovery's last list: what a watch continues from. */
+    /** Version of the base or of discovery's last list, from which a discovery watch continues. */
     public long generation() {
         return generation;
     }
@@ -62,23 +66,23 @@
         return confirmed;
     }
 
-    /** How many endpoints there are, unverified ones included. */
+    /** Number of endpoints, including unverified ones. */
     public int size() {
         return entries.size();
     }
 
-    /** How many endpoints are unverified. */
+    /** Number of unverified endpoints. */
     public int unverifiedCount() {
         return (int)
                 entries.values().stream().filter(entry -> !entry.isUsable()).count();
     }
 
-    /** All endpoints as they are listed, unverified ones included. */
+    /** All endpoints as their source listed them, including unverified ones. */
     public List<Endpoint> endpoints() {
         return entries.values().stream().map(EndpointEntry::endpoint).toList();
     }
 
-    /** Makes the newest usable list the base; to be called once, before anything else. */
+    /** Makes the newest usable list the base. Must be called once, before any other method. */
     public EndpointChange start(long nowMicros, List<EndpointList> lists) {
         List<String> logMessages = new ArrayList<>();
         Optional<EndpointList> newest = newestUsable(nowMicros, lists, logMessages);
@@ -92,7 +96,7 @@
         if (staleness == Staleness.FRESH || staleness == Staleness.STALE) {
             logMessages.add(
                     "starts from the list " + ListDescription.of(base) + " of " + entries.size() + " upstreams, "
-                            + ListDescription.age(nowMicros, asOfMicros(base)) + " old: "
+                            + ListDescription.age(nowMicros, asOfMicros(base)) + ": "
                             + (staleness == Staleness.FRESH ? "used as it is" : "each of them is checked first"));
         }
         return new EndpointChange(true, usableEndpoints(), logMessages);
@@ -103,7 +107,7 @@
         for (EndpointList list : lists) {
             if (stalenessPolicy.classify(nowMicros, asOfMicros(list)) == Staleness.EXPIRED) {
                 logMessages.add("the list " + ListDescription.of(list) + " is "
-                        + ListDescription.age(nowMicros, asOfMicros(list)) + " old, which is too old to be used");
+                        + ListDescription.age(nowMicros, asOfMicros(list)) + ", which is too old to be used");
             } else if (newest == null || isNewer(list, newest)) {
                 newest = list;
             }
@@ -131,7 +135,7 @@
         }
     }
 
-    /** A list without a time is no older than the newest start that it names. */
+    /** Time of the list. A list without one is at least as recent as the latest process start that it contains. */
     private static long asOfMicros(EndpointList list) {
         if (list.asOfMicros() > 0) {
             return list.asOfMicros();
@@ -142,18 +146,24 @@
                 .orElse(0);
     }
 
-    /** Versions order lists of one discovery service; among equals the time decides, and a list with a time is newer than one without. */
+    /**
+     * Compares generations, and among lists of the same generation the times; a list with a time is newer than one
+     * without.
+     */
     private static boolean isNewer(EndpointList list, EndpointList other) {
         return list.generation() != other.generation()
                 ? list.generation() > other.generation()
                 : list.asOfMicros() > other.asOfMicros();
     }
 
-    /** A stale list may name an address twice, for a node and for its successor: the one that started last holds it. */
+    /**
+     * Keeps the endpoint that started last for each address: a stale list may contain an address twice, for an upstream
+     * and for the one that took over its address.
+     */
     private static List<Endpoint> latestPerAddress(List<Endpoint> endpoints) {
-        Map<String, Endpoint> holders = new HashMap<>();
+        Map<String, Endpoint> latestByAddress = new HashMap<>();
         for (Endpoint endpoint : endpoints) {
-            holders.merge(
+            latestByAddress.merge(
                     endpoint.address(),
                     endpoint,
                     (first, second) -> second.upstream().startedMicros()
@@ -162,14 +172,16 @@
                             : first);
         }
         return endpoints.stream()
-                .filter(endpoint -> holders.get(endpoint.address()) == endpoint)
+                .filter(endpoint -> latestByAddress.get(endpoint.address()) == endpoint)
                 .toList();
     }
 
     /**
-     * Discovery's list, or its changes, replaces all doubt: what it does not name is gone, what it names is confirmed. Changes follow on
-     * the base, so they confirm what they do not mention. A complete list of an older version counts too, since a service that was
-     * restored knows what is there now. An empty list is ignored: it would end all service.
+     * Applies a complete list from discovery, or changes, and confirms all endpoints that remain. Endpoints that a
+     * complete list does not contain are removed. Changes build on the base, so they also confirm the endpoints that
+     * they do not contain. A complete list of an older version is applied as well, because a discovery service that was
+     * restored from a backup knows the current endpoints. An empty complete list is ignored, because it would leave the
+     * sidecar without upstreams.
      */
     public EndpointChange onDiscoveryList(long nowMicros, EndpointList list) {
         if (list.complete() && list.endpoints().isEmpty()) {
@@ -178,17 +190,17 @@
         List<String> logMessages = new ArrayList<>();
         if (list.generation() < generation && (list.complete() || !confirmed)) {
             logMessages.add("discovery's list is older (" + list.generation() + ") than the current one (" + generation
-                    + "): discovery's is used");
+                    + "), which it replaces all the same");
         }
-        Set<String> named = apply(list);
-        int before = entries.size();
+        Set<String> listedIds = apply(list);
+        int previousSize = entries.size();
         if (list.complete()) {
-            entries.keySet().retainAll(named);
+            entries.keySet().retainAll(listedIds);
         }
-        boolean endsDoubt = !confirmed && !stalenessPolicy.acceptsAll();
-        if (endsDoubt) {
+        boolean firstConfirmation = !confirmed && !stalenessPolicy.acceptsAll();
+        if (firstConfirmation) {
             logMessages.add("discovery responded: " + entries.size() + " upstreams confirmed, "
-                    + (before - entries.size()) + " removed");
+                    + (previousSize - entries.size()) + " removed");
         }
         entries.values().forEach(EndpointEntry::confirm);
         checks.abandonAll();
@@ -196,19 +208,19 @@
         confirmed = true;
         discoveryResponding = true;
         outOfService.onEndpointList(nowMicros, entries.keySet());
-        return list.complete() || endsDoubt
+        return list.complete() || firstConfirmation
                 ? new EndpointChange(true, usableEndpoints(), logMessages)
                 : new EndpointChange(
                         false,
-                        list.endpoints().stream().map(this::presentChanged).toList(),
+                        list.endpoints().stream().map(this::effectiveChange).toList(),
                         logMessages);
     }
 
-    /** Returns the ids that the list names. */
+    /** Adds, updates and removes entries by the list, and returns the ids that it contains. */
     private Set<String> apply(EndpointList list) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Endpoint endpoint : list.endpoints()) {
-            named.add(endpoint.id());
+            listedIds.add(endpoint.id());
             if (endpoint.upstream().state() == UpstreamState.GONE) {
                 entries.remove(endpoint.id());
             } else if (entries.containsKey(endpoint.id()) || entries.size() < MAX_ENDPOINTS) {
@@ -216,23 +228,27 @@
                         .update(endpoint);
             }
         }
-        return named;
+        return listedIds;
     }
 
-    private Endpoint presentChanged(Endpoint endpoint) {
+    /** The endpoint as the balancer gets it; one that has just been removed is passed on as it was listed. */
+    private Endpoint effectiveChange(Endpoint endpoint) {
         EndpointEntry entry = entries.get(endpoint.id());
-        return entry == null ? endpoint : present(entry);
+        return entry == null ? endpoint : effectiveEndpoint(entry);
     }
 
-    /** The endpoints to be checked now, each of whose results is due at {@link #onCheckResult}; none once discovery has responded. */
+    /**
+     * Returns the endpoints to check now; none once discovery has responded. The caller must pass the result of each
+     * check to {@link #onCheckResult}.
+     */
     public List<Endpoint> beginChecks(long nowMicros) {
         return confirmed ? List.of() : checks.begin(nowMicros, entries.values());
     }
 
-    /** The result of a check; no effect where discovery has responded meanwhile. */
+    /** Handles the result of a check. No effect if discovery has responded since the check began. */
     public EndpointChange onCheckResult(long nowMicros, String id, EndpointEvidence evidence) {
         EndpointEntry entry = entries.get(id);
-        if (entry == null || !entry.checkInFlight()) {
+        if (entry == null || !entry.isCheckInFlight()) {
             return EndpointChange.NONE;
         }
         switch (evidence) {
@@ -247,7 +263,7 @@
         return allUsable();
     }
 
-    /** An upstream has responded to a request, so that it is known to be one. */
+    /** Handles a response to a request, which shows that the endpoint is an upstream. */
     public EndpointChange onResponse(String id) {
         EndpointEntry entry = entries.get(id);
         if (entry == null || !entry.hasUncertainty(Uncertainty.SERVICE)) {
@@ -257,44 +273,47 @@
         return allUsable();
     }
 
-    /** Discovery has stopped responding: its last list holds, and nobody reports restarts. */
+    /** Handles a failed call to discovery: the last list stays in use, and restarts are no longer reported. */
     public void onDiscoveryFailure() {
         discoveryResponding = false;
     }
 
     /**
-     * A connection failed. While discovery does not respond the process may be restarting, so its slow start begins anew. Where nothing
-     * listens the process is gone, and the next one starts later: discovery reports that only once it has noticed, so an earlier start
-     * that it reports does not end this slow start.
+     * Handles a failed connection. While discovery does not respond the process may be restarting, so its slow start
+     * begins again. A refused connection means that the process has exited and that the next one starts later.
+     * Discovery reports the new process only once it has noticed, so an earlier start time in its lists does not end
+     * this slow start.
+     *
+     * @param refused whether the connection was refused, because nothing listens at the address
      */
-    public EndpointChange onConnectFailure(long nowMicros, String id, boolean nobodyListens) {
+    public EndpointChange onConnectFailure(long nowMicros, String id, boolean refused) {
         EndpointEntry entry = entries.get(id);
         if (stalenessPolicy.acceptsAll()
-                || discoveryResponding && !nobodyListens
+                || discoveryResponding && !refused
                 || entry == null
                 || !entry.isUsable()
                 || nowMicros - entry.slowStartFromMicros() < RESTART_WINDOW_MICROS
-                || nextGridMicros(nowMicros) == entry.processGoneMicros()) {
+                || nextGridMicros(nowMicros) == entry.processExitMicros()) {
             return EndpointChange.NONE;
         }
-        if (nobodyListens) {
-            entry.processGone(nextGridMicros(nowMicros));
+        if (refused) {
+            entry.processExited(nextGridMicros(nowMicros));
         } else {
             entry.restartSlowStart(nowMicros);
         }
         return allUsable();
     }
 
-    /** The next time on the grid by which sidecars agree on a restart. */
+    /** Rounds up to the next multiple of {@link #RESTART_GRID_MICROS}, which is later than {@code nowMicros}. */
     static long nextGridMicros(long nowMicros) {
         return (nowMicros / RESTART_GRID_MICROS + 1) * RESTART_GRID_MICROS;
     }
 
-    /** All endpoints that may be used, for the balancer and the connections. */
+    /** All endpoints that may be used, as the balancer and the connection pools get them. */
     public List<Endpoint> usableEndpoints() {
         return entries.values().stream()
                 .filter(EndpointEntry::isUsable)
-                .map(this::present)
+                .map(this::effectiveEndpoint)
                 .toList();
     }
 
@@ -302,29 +321,34 @@
         return new EndpointChange(true, usableEndpoints(), List.of());
     }
 
-    /** Out of service it is draining, whatever lists say. */
-    private Endpoint present(EndpointEntry entry) {
+    private Endpoint effectiveEndpoint(EndpointEntry entry) {
         String id = entry.upstream().id();
-        return entry.present(outOfService.contains(id), outOfService.returnedMicros(id));
+        return entry.effectiveEndpoint(outOfService.contains(id), outOfService.returnedMicros(id));
     }
 
-    /** The upstream as it is listed; null where it is not, as this is called for each attempt. */
+    /**
+     * The upstream as its source listed it; null if it is not listed. No Optional, because this is called for each
+     * attempt.
+     */
     public Upstream upstream(String id) {
         EndpointEntry entry = entries.get(id);
         return entry == null ? null : entry.upstream();
     }
 
-    /** Whether operators can refer to it: it is listed, or out of service and expected back. */
+    /** Whether operators can refer to the upstream: it is listed, or out of service and not yet forgotten. */
     public boolean isKnown(String id) {
         return entries.containsKey(id) || outOfService.contains(id);
     }
 
-    /** Whether an operator took it out of service. */
+    /** Whether an operator took the upstream out of service. */
     public boolean isOutOfService(String id) {
         return outOfService.contains(id);
     }
 
-    /** Takes an upstream out of service, or brings it back in slow start, since it may have been restarted. Repeats have no effect. */
+    /**
+     * Takes an upstream out of service, or brings it back, in slow start because it may have been restarted. Repeats
+     * have no effect.
+     */
     public EndpointChange setOutOfService(long nowMicros, String id, boolean takeOut) {
         boolean changed = takeOut ? outOfService.takeOut(nowMicros, id) : outOfService.bringBack(nowMicros, id);
         if (!changed) {
@@ -334,7 +358,7 @@
         return new EndpointChange(true, usableEndpoints(), List.of(message));
     }
 
-    /** The upstreams that are out of service, for another process of this sidecar. */
+    /** The upstreams that are out of service, to be passed to another process of this sidecar. */
     public OutOfServiceUpstreams.Snapshot outOfServiceUpstreams() {
         return outOfService.snapshot();
     }
--- a/src/main/java/loadbalancer/membership/OutOfServiceUpstreams.java
+++ b/src/main/java/loadbalancer/membership/OutOfServiceUpstreams.java
@@ -5,13 +5,17 @@
 import java.util.TreeMap;
 
 /**
- * Upstreams that operators took out of service, which no endpoint list overrules. One is back when an operator says so, or when no list
- * has named it for {@link #EXPIRY_MICROS}. Pure: time is a parameter.
+ * Upstreams that operators took out of service, regardless of what endpoint lists contain. An upstream is out of
+ * service until an operator brings it back, or until no list has contained it for {@link #EXPIRY_MICROS}. No I/O; time
+ * is a parameter.
  */
 public final class OutOfServiceUpstreams {
-    /** An upstream that no list has named for so long does not come back under its id. */
+    /**
+     * An upstream that no list has contained for this long is not expected to return under the same id, and is
+     * forgotten.
+     */
     static final long EXPIRY_MICROS = 24 * 3_600_000_000L;
-    /** Longer than any slow start: a return so long ago has no effect. */
+    /** Returns are forgotten after this time, which is longer than any slow start. */
     static final long RETURN_EXPIRY_MICROS = 3_600_000_000L;
 
     static final int MAX_UPSTREAMS = Membership.MAX_ENDPOINTS;
@@ -20,10 +24,10 @@
     private final Map<String, Long> returned = new TreeMap<>();
 
     /**
-     * All upstreams that are out of service, and those that came back. Unix times in microseconds, by id.
+     * The upstreams that are out of service and those that have returned, each with a Unix time in microseconds, by id.
      *
-     * @param outOfService when a list last named it, or it was taken out
-     * @param returned     when its slow start began after it came back
+     * @param outOfService when a list last contained the upstream, or when it was taken out of service if that is later
+     * @param returned     when the slow start after the upstream's return begins
      */
     public record Snapshot(Map<String, Long> outOfService, Map<String, Long> returned) {
         /** No upstream is out of service, and none has been. */
@@ -40,17 +44,20 @@
         return outOfService.containsKey(id);
     }
 
-    /** When the slow start after its last return began; 0 where it was never out, or came back long ago. */
+    /**
+     * When the slow start after the upstream's last return begins; 0 if it never was out of service, or returned long
+     * ago.
+     */
     long returnedMicros(String id) {
         return returned.getOrDefault(id, 0L);
     }
 
-    /** False where it is out already, or too many are. */
+    /** Returns false if the upstream is out of service already, or if {@link #MAX_UPSTREAMS} are. */
     boolean takeOut(long nowMicros, String id) {
         return outOfService.size() < MAX_UPSTREAMS && outOfService.putIfAbsent(id, nowMicros) == null;
     }
 
-    /** False where it is not out. */
+    /** Returns false if the upstream is not out of service. */
     boolean bringBack(long nowMicros, String id) {
         if (outOfService.remove(id) == null) {
             return false;
@@ -61,7 +68,7 @@
         return true;
     }
 
-    /** The snapshot after one upstream was taken out, or brought back. */
+    /** Returns the snapshot with one upstream taken out of service or brought back. */
     public static Snapshot withChange(Snapshot snapshot, long nowMicros, String id, boolean takeOut) {
         OutOfServiceUpstreams upstreams = new OutOfServiceUpstreams();
         upstreams.restore(snapshot);
@@ -73,17 +80,20 @@
         return upstreams.snapshot();
     }
 
-    /** A list has named {@code ids}. */
+    /** Handles an endpoint list that contains {@code ids}. */
     void onEndpointList(long nowMicros, Set<String> ids) {
-        outOfService.replaceAll((id, namedMicros) -> ids.contains(id) ? nowMicros : namedMicros);
-        outOfService.values().removeIf(namedMicros -> nowMicros - namedMicros > EXPIRY_MICROS);
+        outOfService.replaceAll((id, listedMicros) -> ids.contains(id) ? nowMicros : listedMicros);
+        outOfService.values().removeIf(listedMicros -> nowMicros - listedMicros > EXPIRY_MICROS);
     }
 
     Snapshot snapshot() {
         return new Snapshot(outOfService, returned);
     }
 
-    /** Takes over another process's state; false where it has the same upstreams and returns. */
+    /**
+     * Takes over the state of another process. Returns false if it has the same upstreams out of service and the same
+     * returns.
+     */
     boolean restore(Snapshot snapshot) {
         boolean same =
                 outOfService.keySet().equals(snapshot.outOfService().keySet()) && returned.equals(snapshot.returned());
--- a/src/main/java/loadbalancer/membership/StalenessPolicy.java
+++ b/src/main/java/loadbalancer/membership/StalenessPolicy.java
@@ -1,13 +1,14 @@
 package loadbalancer.membership;
 
 /**
- * How far a list is trusted by its age, and how fast endpoints of a stale list are checked. Times in microseconds.
+ * Decides by a list's age whether it is used, with or without checks, and limits the checks of a stale list. Times in
+ * microseconds.
  *
  * @param maxFreshAgeMicros   lists up to this age are used without checks; 0 or more
  * @param maxUsableAgeMicros  lists beyond this age are not used; no less than {@code maxFreshAgeMicros}
- * @param assumedAgeMicros    age of a list that does not tell its own; {@link #AGE_UNKNOWN} where nothing can be assumed
- * @param checksPerSecond     rate of checks, successful ones not counted; above 0
- * @param maxConcurrentChecks checks at the same time, and the burst of that rate; above 0
+ * @param assumedAgeMicros    age assumed for a list without a time; {@link #AGE_UNKNOWN} to treat it as stale
+ * @param checksPerSecond     maximum rate of checks, not counting successful ones; above 0
+ * @param maxConcurrentChecks maximum number of checks in flight, and the burst size of the rate limit; above 0
  */
 public record StalenessPolicy(
         long maxFreshAgeMicros,
@@ -15,30 +16,32 @@
         long assumedAgeMicros,
         double checksPerSecond,
         int maxConcurrentChecks) {
-    /** In place of an age: the list counts as stale. */
+    /** Value of {@code assumedAgeMicros} that makes a list without a time stale. */
     public static final long AGE_UNKNOWN = -1;
 
     /** Uses every list without checks. */
     public static final StalenessPolicy ACCEPT_ALL = new StalenessPolicy(Long.MAX_VALUE, Long.MAX_VALUE, 0, 1, 1);
 
     enum Staleness {
-        /** The policy accepts lists of any age. */
+        /** Not classified, because the policy accepts lists of any age. */
         UNCHECKED,
-        /** Used without checks. */
+        /** The list is used without checks. */
         FRESH,
-        /** Each endpoint is checked before it is used. */
+        /** Each endpoint of the list is checked before it is used. */
         STALE,
-        /** Not used. */
+        /** The list is not used. */
         EXPIRED
     }
 
-    /** Checks the bounds. */
+    /** @throws IllegalArgumentException if a value is out of its bounds */
     public StalenessPolicy {
         if (maxFreshAgeMicros < 0
                 || maxUsableAgeMicros < maxFreshAgeMicros
                 || !(checksPerSecond > 0)
                 || maxConcurrentChecks <= 0) {
-            throw new IllegalArgumentException("staleness policy out of bounds");
+            throw new IllegalArgumentException("staleness policy: maxFreshAgeMicros must be at least 0,"
+                    + " maxUsableAgeMicros at least maxFreshAgeMicros,"
+                    + " checksPerSecond and maxConcurrentChecks above 0");
         }
     }
 
@@ -46,7 +49,10 @@
         return maxFreshAgeMicros == Long.MAX_VALUE;
     }
 
-    /** A list from the future was made by another clock, or this one was set back: its age is unknown, so it is stale. */
+    /**
+     * Classifies a list by its time. A time in the future comes from another machine's clock, or this clock was set
+     * back; the age is unknown then, so the list is stale.
+     */
     Staleness classify(long nowMicros, long asOfMicros) {
         if (acceptsAll()) {
             return Staleness.UNCHECKED;
--- a/src/main/java/loadbalancer/membership/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/membership/discovery/DiscoveryClient.java
@@ -1,24 +1,27 @@
 package loadbalancer.membership.discovery;
 
-/** Sends the watch's calls to discovery, one at a time. All methods and callbacks are on the watch's thread. */
+/** Sends the watch's calls to discovery, one at a time. All methods and callbacks run on the watch's thread. */
 public interface DiscoveryClient {
-    /** Is notified once of how a call ended, unless it was abandoned; never within {@link #get}. */
+    /** Notified once of how a call ended, unless the call was abandoned; never within {@link #get}. */
     interface ResponseListener {
         /**
-         * A response has arrived.
+         * Called when a response has arrived.
          *
-         * @param status    HTTP status; 0 where the response is not HTTP
-         * @param keepAlive whether the connection can take the next call
+         * @param status    HTTP status; 0 if the response is not valid HTTP
+         * @param keepAlive whether the connection can be reused for the next call
          */
         void onResponse(int status, byte[] body, boolean keepAlive);
 
-        /** There is no response: the connection can't be opened, or broke. */
+        /** Called when there will be no response, because the connection could not be opened or broke. */
         void onFailure(String reason);
     }
 
-    /** Sends a GET for {@code uri}. */
+    /** Sends a GET request for {@code uri}. */
     void get(String uri, ResponseListener listener);
 
-    /** Abandons the open call, if any, without notice, and closes its connection, so that no late response can arrive. */
+    /**
+     * Abandons the open call, if any, without notifying its listener, and closes the connection so that no late
+     * response can arrive.
+     */
     void disconnect();
 }
--- a/src/main/java/loadbalancer/membership/discovery/DiscoveryHttpClient.java
+++ b/src/main/java/loadbalancer/membership/discovery/DiscoveryHttpClient.java
@@ -17,9 +17,9 @@
 import loadbalancer.core.Log;
 import loadbalancer.http1.Connector;
 
-/** Calls discovery over HTTP/1.1 on one connection, which is kept alive between calls where discovery allows it. */
+/** Calls discovery over HTTP/1.1 on one connection, which is kept alive between calls if discovery allows it. */
 public final class DiscoveryHttpClient implements DiscoveryClient {
-    /** Enough for some thousand endpoints. */
+    /** Enough for several thousand endpoints. */
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -27,16 +27,16 @@
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private Channel channel;
-    /** Listener of the open call; null while there is none. */
+    /** Listener of the open call; null if no call is open. */
     private ResponseListener pending;
 
-    /** A client on {@code loop}; it connects at the first call. */
+    /** Creates a client on {@code loop}, which connects at its first call. */
     public DiscoveryHttpClient(EventLoop loop, InetSocketAddress address) {
         this.address = address;
         bootstrap = Connector.httpBootstrap(loop, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, ResponseHandler::new);
     }
 
-    /** Sends new connections to {@code newAddress}; false where that is the address already. */
+    /** Opens new connections to {@code newAddress} from now on. Returns false if the address is unchanged. */
     public boolean setAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return false;
@@ -59,7 +59,7 @@
             if (future.isSuccess() && pending == listener) {
                 write(uri, listener);
             } else if (!future.isSuccess()) {
-                fail(listener, "no connection");
+                fail(listener, "could not connect");
             }
         });
     }
@@ -69,7 +69,7 @@
         request.headers().set("Host", "discovery");
         channel.writeAndFlush(request).addListener(future -> {
             if (!future.isSuccess()) {
-                fail(listener, "the connection broke");
+                fail(listener, "the connection broke while the request was sent");
             }
         });
     }
@@ -110,7 +110,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (context.channel() == channel) {
-                fail(pending, "the connection ended");
+                fail(pending, "the connection was closed before the response");
             }
         }
 
--- a/src/main/java/loadbalancer/membership/discovery/DiscoveryListFormat.java
+++ b/src/main/java/loadbalancer/membership/discovery/DiscoveryListFormat.java
@@ -14,16 +14,16 @@
 import loadbalancer.membership.EndpointList;
 import loadbalancer.membership.ListSource;
 
-/** Discovery's JSON form of endpoint lists, complete ones and changes alike; the names of its fields are the platform's. */
+/** Discovery's JSON format of endpoint lists, both complete lists and changes. The platform defines the field names. */
 public final class DiscoveryListFormat {
     private static final String GENERATION = "generation";
-    /** Whether a list is complete. */
+    /** Flag that marks a complete list. */
     private static final String RESET = "reset";
 
     private static final String INSTANCES = "instances";
     private static final String INSTANCE_ID = "instanceId";
     private static final String HOST_PORT = "hostPort";
-    /** Not in the platform's form: a second port of the same node, which other installations name. */
+    /** Port for gRPC at the same host. Not part of the platform's format; other installations use it. */
     private static final String GRPC_PORT = "grpcPort";
 
     private static final String ZONE = "zone";
@@ -42,8 +42,9 @@
     /**
      * Reads a list.
      *
-     * @param asOfMicros Unix time at which the list was known to be true; 0 where that is unknown
-     * @throws IllegalArgumentException where anything in it is not as expected; one endpoint that can't be read spoils the list
+     * @param asOfMicros Unix time at which the list was known to be correct; 0 if unknown
+     * @throws IllegalArgumentException if a field is missing or invalid; one invalid endpoint makes the whole list
+     *     invalid
      */
     public static EndpointList read(JsonObject json, ListSource source, long asOfMicros) {
         List<Endpoint> endpoints = new ArrayList<>();
@@ -85,7 +86,7 @@
         };
     }
 
-    /** The fields of a complete list. */
+    /** Returns the JSON fields of a complete list. */
     public static Map<String, Object> writeComplete(EndpointList list) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put(GENERATION, list.generation());
@@ -96,7 +97,7 @@
         return json;
     }
 
-    /** The fields of one endpoint. */
+    /** Returns the JSON fields of one endpoint. */
     public static Map<String, Object> write(Endpoint endpoint) {
         Upstream upstream = endpoint.upstream();
         Map<String, Object> instance = new LinkedHashMap<>();
--- a/src/main/java/loadbalancer/membership/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/membership/discovery/DiscoveryWatch.java
@@ -10,118 +10,132 @@
 import loadbalancer.membership.ListSource;
 
 /**
- * Watches discovery by long polls: one call after the other, without a gap, from the balancer's first poll on. A call that gets no
- * response in the time of its {@link PollSchedule}, or the first one to a new address, is restarted at once; one that fails otherwise,
- * or again, is reported to the balancer, which decides when to poll again. The endpoint list stays in force meanwhile. All methods are
- * called on the event loop; {@link DiscoveryClient} carries the calls.
+ * Watches discovery with long polls, one call after another, from the balancer's first poll on. A call that gets no
+ * response within the timeout of its {@link PollSchedule} is restarted at once, and so is the first call to a new
+ * address if it fails in any way. Any other failure, or a second one in a row, is reported to the balancer, which
+ * decides when to poll again. The current endpoint list stays in use meanwhile. All methods are called on the event
+ * loop; a {@link DiscoveryClient} sends the calls.
  */
 public final class DiscoveryWatch {
     private static final String PATH = "/registry/instances";
-    /** Between failing calls to an agent on the same machine: its changes may count as notified at once. */
+    /**
+     * Backoff after a failed call to an agent on the same machine. Short, because its changes may count as notified at
+     * once.
+     */
     private static final long AGENT_RETRY_MICROS = 150_000;
-    /** Between failing calls to a service, which a whole fleet calls. */
+    /** First backoff after a failed call to a service that a whole fleet calls. */
     private static final long INITIAL_RETRY_MICROS = 1_000_000;
 
     private static final long MAX_RETRY_MICROS = 2_000_000;
-    /** Between the starts of calls: a watch lasts while its calls follow within 200 ms of each other. */
+    /**
+     * Minimum time between the starts of calls. A watch counts as unbroken while its calls follow within 200 ms of each
+     * other.
+     */
     private static final long MIN_CALL_INTERVAL_MILLIS = 100;
-    /** In place of a call's number: no call is open. */
+    /** Value of {@link #currentCall} while no call is open. */
     private static final long IDLE = 0;
-    /** In place of a call's number: no call is open, and none may start. */
+    /** Value of {@link #currentCall} once the watch has ended: no call is open, and none may start. */
     private static final long STOPPED = -1;
 
     private final Timers timers;
     private final Clock clock;
     private final Listener listener;
     private final DiscoveryClient client;
-    private final boolean selfDriven;
+    private final boolean selfPolling;
     private final Backoff backoff;
     private final PollSchedule schedule;
     private final SplittableRandom random;
-    /** Whether the list at hand is in doubt, as after a failure: then a call asks for no wait, so that it is confirmed at once. */
-    private boolean unconfirmed;
+    /**
+     * Whether the current list may be outdated, as after a failure. Calls then ask for no wait, so that it is confirmed
+     * at once.
+     */
+    private boolean listUnconfirmed;
 
     private long generation;
-    /** Whether the next call asks for the complete list, as after a malformed response. */
+    /** Whether the next call must ask for the complete list, as after a malformed response. */
     private boolean completeListNeeded;
-    /** The balancer has polled and waits for a response, even one without changes. */
+    /** Whether the balancer has polled and waits for a response, even for one without changes. */
     private boolean pollPending;
 
     private Timers.Timer responseTimer;
-    /** Calls in a row that were restarted at once. */
+    /** Calls that were restarted at once since the last response or address change. */
     private int consecutiveRestarts;
-    /** Whether a failure of an agent has been logged since its last response. */
+    /** Whether a failure has been logged since the last response; only the first failure of an agent is logged. */
     private boolean failureLogged;
     /** Whether discovery has a new address and has not responded there yet. */
     private boolean addressChanged;
-    /** Number of the open call, by which callbacks of earlier calls are known; or {@link #IDLE} or {@link #STOPPED}. */
+    /**
+     * Number of the open call, or {@link #IDLE} or {@link #STOPPED}. Callbacks of calls with other numbers are ignored.
+     */
     private long currentCall;
 
     private long callCount;
     private long callStartedMicros;
 
-    /** Receives what the watch learns, on the event loop. */
+    /** Receives the watch's results, on the event loop. */
     public interface Listener {
         /**
-         * Discovery has responded.
+         * Called with each list that discovery returns.
          *
-         * @param answersPoll whether the balancer waits for a response, even one without changes
+         * @param answersPoll whether the balancer waits for a response, even for one without changes
          */
         void onList(EndpointList list, boolean answersPoll);
 
         /**
-         * A call has failed.
+         * Called when a call has failed.
          *
-         * @param retry polls again after a backoff, for a listener that has no balancer to do so
+         * @param retry polls again after a backoff, for a listener without a balancer that does so
          */
         void onFailure(Runnable retry);
     }
 
     /**
-     * How a watch starts.
+     * The options of a watch.
      *
-     * @param generation         version of the list at hand
-     * @param pollIntervalMicros how long a sidecar without a watch may go by the list that it has; 0 or less where that is unbounded
-     * @param selfDriven         whether the watch polls by itself, since the balancer never does; discovery is an agent on the same
-     *                           machine then
-     * @param unconfirmed        whether the list at hand is in doubt: the first call asks for no wait
-     * @param seed               of the waits and the backoff
+     * @param generation         version of the current list
+     * @param pollIntervalMicros longest time for which a sidecar without a watch may use its list before it polls
+     *                           again; 0 or less if unlimited
+     * @param selfPolling        whether the watch polls by itself because the balancer never does; discovery is an
+     *                           agent on the same machine then
+     * @param listUnconfirmed    whether the current list may be outdated, so that the first call asks for no wait
+     * @param seed               random seed for the waits and the backoff
      */
     public record Options(
-            long generation, long pollIntervalMicros, boolean selfDriven, boolean unconfirmed, long seed) {}
+            long generation, long pollIntervalMicros, boolean selfPolling, boolean listUnconfirmed, long seed) {}
 
-    /** A watch that makes no call before {@link #start} or {@link #poll}. */
+    /** Creates a watch that makes no call before {@link #start} or {@link #poll}. */
     public DiscoveryWatch(Timers timers, Clock clock, Listener listener, DiscoveryClient client, Options options) {
         this.timers = timers;
         this.clock = clock;
         this.listener = listener;
         this.client = client;
-        selfDriven = options.selfDriven();
-        unconfirmed = options.unconfirmed();
+        selfPolling = options.selfPolling();
+        listUnconfirmed = options.listUnconfirmed();
         generation = options.generation();
-        backoff = selfDriven
+        backoff = selfPolling
                 ? new Backoff(AGENT_RETRY_MICROS, AGENT_RETRY_MICROS, options.seed())
                 : new Backoff(INITIAL_RETRY_MICROS, MAX_RETRY_MICROS, options.seed());
         random = new SplittableRandom(options.seed());
-        schedule = PollSchedule.of(selfDriven, options.pollIntervalMicros());
+        schedule = PollSchedule.of(selfPolling, options.pollIntervalMicros());
     }
 
-    /** Starts a watch that polls by itself; no effect on another. */
+    /** Starts a watch that polls by itself; no effect on any other watch. */
     public void start() {
-        if (selfDriven) {
+        if (selfPolling) {
             poll();
         }
     }
 
-    /** The balancer polls: {@link Listener} is notified of the next response or failure. */
+    /** Handles a poll of the balancer: {@link Listener} is notified of the next response or failure. */
     public void poll() {
-        pollPending = !selfDriven;
+        pollPending = !selfPolling;
         startCallIfIdle();
     }
 
     /**
-     * Abandons the open call and asks at the client's new address for the complete list, since generations of another service need not
-     * follow on these. The abandoned call has not failed, and its poll is still answered.
+     * Abandons the open call and asks at the client's new address for the complete list, because the generations of
+     * another service need not continue the current ones. The abandoned call does not count as failed, and its poll is
+     * still answered.
      */
     public void onAddressChanged() {
         completeListNeeded = true;
@@ -137,7 +151,7 @@
         currentCall = STOPPED;
     }
 
-    /** Ends the open call, if any, without notice to the listener. */
+    /** Ends the open call, if any, without notifying the listener. */
     private void abandonCall() {
         if (currentCall != IDLE) {
             endCall();
@@ -160,7 +174,7 @@
         long number = ++callCount;
         currentCall = number;
         callStartedMicros = clock.nowMicros();
-        long waitMillis = unconfirmed || consecutiveRestarts > 0 ? 0 : schedule.waitMillis(random);
+        long waitMillis = listUnconfirmed || consecutiveRestarts > 0 ? 0 : schedule.waitMillis(random);
         responseTimer = timers.schedule(responseTimeoutMillis(waitMillis) * 1_000, () -> onTimeout(number));
         String uri = completeListNeeded ? PATH : PATH + "?index=" + generation + "&wait=" + waitMillis;
         client.get(uri, new DiscoveryClient.ResponseListener() {
@@ -179,7 +193,7 @@
     }
 
     private long responseTimeoutMillis(long waitMillis) {
-        if (completeListNeeded || unconfirmed) {
+        if (completeListNeeded || listUnconfirmed) {
             return addressChanged && consecutiveRestarts == 0
                     ? schedule.addressChangeTimeoutMillis()
                     : schedule.completeListTimeoutMillis();
@@ -187,7 +201,10 @@
         return consecutiveRestarts > 0 ? schedule.restartTimeoutMillis() : waitMillis + schedule.responseSlackMillis();
     }
 
-    /** A silent call counts as lost with its connection; a service that is silent twice in a row has failed. */
+    /**
+     * Handles a call without a response. The first one is taken for a lost connection and restarted; a second one in a
+     * row is a failure of the service, though not of an agent.
+     */
     private void onTimeout(long number) {
         if (currentCall != number) {
             return;
@@ -212,21 +229,23 @@
             return;
         }
         if (addressChanged && consecutiveRestarts == 0) {
-            // A whole fleet may have asked at once; after a backoff its changes would count as notified already.
+            // The whole fleet may have called at once. After a backoff the service's changes would already count as
+            // notified.
             restart(reason);
             return;
         }
         endCall();
-        // What may still arrive on this connection belongs to an earlier call.
+        // A late response on this connection must not be taken for that of the next call.
         client.disconnect();
         pollPending = false;
-        // Without a wait: one that hangs while discovery recovers would be found silent too late.
-        unconfirmed |= !selfDriven;
-        if (!selfDriven || !failureLogged) {
+        // The next call asks for no wait: if it hung while discovery recovers, a call with a wait would time out too
+        // late.
+        listUnconfirmed |= !selfPolling;
+        if (!selfPolling || !failureLogged) {
             failureLogged = true;
             Log.event("discovery.call.failed", "discovery call failed: " + reason, "why", reason);
         }
-        if (selfDriven) {
+        if (selfPolling) {
             scheduleRetry();
         } else {
             listener.onFailure(this::scheduleRetry);
@@ -246,7 +265,7 @@
         try {
             list = readList(body);
         } catch (RuntimeException exception) {
-            // Whatever a malformed response triggers in its readers must not end the watch.
+            // No exception that a malformed response causes may end the watch.
             completeListNeeded = true;
             onCallFailure(currentCall, "the response is not an endpoint list: " + exception.getMessage());
             return;
@@ -269,14 +288,14 @@
         boolean follows = !completeListNeeded && list.generation() >= generation;
         boolean usable = list.complete() ? !list.endpoints().isEmpty() : follows;
         if (!usable) {
-            throw new IllegalArgumentException("it is empty or does not follow on the previous list");
+            throw new IllegalArgumentException("the list is empty or does not continue the previous one");
         }
         return list;
     }
 
     private void accept(EndpointList list) {
         completeListNeeded = false;
-        unconfirmed = false;
+        listUnconfirmed = false;
         addressChanged = false;
         failureLogged = false;
         consecutiveRestarts = 0;
--- a/src/main/java/loadbalancer/membership/discovery/package-info.java
+++ b/src/main/java/loadbalancer/membership/discovery/package-info.java
@@ -1,2 +1,5 @@
-/** The client of service discovery: one long poll after another, on the event loop, and discovery's JSON form of endpoint lists. */
+/**
+ * The client of service discovery, which sends one long poll after another on the event loop, and discovery's JSON
+ * format of endpoint lists.
+ */
 package loadbalancer.membership.discovery;
--- a/src/main/java/loadbalancer/membership/disk/EndpointListFile.java
+++ b/src/main/java/loadbalancer/membership/disk/EndpointListFile.java
@@ -10,9 +10,9 @@
 import loadbalancer.storage.StoredFileException;
 
 /**
- * An endpoint list on disk: discovery's JSON with fleet and time, in a {@link ChecksummedFormat}.
+ * An endpoint list file: discovery's JSON format with fleet and time added, in a {@link ChecksummedFormat}.
  *
- * @param sequence counts the lists that a sidecar writes
+ * @param sequence number of the list among those that a sidecar has written
  */
 public record EndpointListFile(long sequence, EndpointList list) {
     private static final ChecksummedFormat FORMAT = ChecksummedFormat.numbered("bridgecleat-list", "a list", 1);
@@ -22,21 +22,21 @@
     /**
      * Reads a list from a file's bytes.
      *
-     * @throws StoredFileException where the file is torn, damaged, of another fleet or of another version
-     * @throws IllegalArgumentException where its JSON is no endpoint list
+     * @throws StoredFileException if the file is truncated, damaged, of another fleet or of another version
+     * @throws IllegalArgumentException if its JSON is not an endpoint list
      */
     public static EndpointListFile decode(byte[] file, String fleet) throws StoredFileException {
         ChecksummedFormat.Contents contents = FORMAT.decode(file);
         JsonObject json = JsonObject.parse(contents.body());
         String owner = json.string(FLEET);
         if (!owner.equals(fleet)) {
-            throw new StoredFileException("it belongs to the fleet '" + owner + "', not to '" + fleet + "'");
+            throw new StoredFileException("the file belongs to the fleet '" + owner + "', not to '" + fleet + "'");
         }
         long asOfMicros = json.integer(AS_OF_MILLIS) * 1000;
         return new EndpointListFile(contents.sequence(), DiscoveryListFormat.read(json, ListSource.DISK, asOfMicros));
     }
 
-    /** The bytes of the file, for sidecars of {@code fleet}. */
+    /** Returns the bytes of the file, for sidecars of {@code fleet}. */
     public byte[] encode(String fleet) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put(FLEET, fleet);
--- a/src/main/java/loadbalancer/membership/disk/EndpointListStore.java
+++ b/src/main/java/loadbalancer/membership/disk/EndpointListStore.java
@@ -17,29 +17,30 @@
 import loadbalancer.membership.EndpointList;
 
 /**
- * A folder that keeps the endpoint list over restarts. Two files alternate, so that the previous list is intact whatever happens to
- * the newest: each write goes to a temporary file, is synced and renamed over the older of the two, and the folder is synced too. Of
- * the intact files ({@link EndpointListFile}) the one with the highest sequence number is read.
+ * Keeps the endpoint list in a folder, so that it survives restarts. Two files alternate, so that the previous list
+ * stays intact if a write of the newest fails: each write goes to a temporary file, which is synced and renamed over
+ * the older of the two files, and then the folder is synced. Of the intact files ({@link EndpointListFile}) the one
+ * with the highest sequence number is read.
  *
- * <p>All methods block on I/O: none belongs on the event loop. One sidecar locks the folder and writes it; another that is given the
- * same one only reads it. Not safe for use by several threads.
+ * <p>All methods block on I/O and must not be called on the event loop. One sidecar locks the folder and writes it; any
+ * other sidecar that is configured with the same folder only reads it. Not thread-safe.
  */
 public final class EndpointListStore implements AutoCloseable {
-    private static final int FILES = 2;
+    private static final int FILE_COUNT = 2;
 
     private final Path folder;
     private final String fleet;
     private final int maxFileBytes;
     private FileChannel lockFile;
     private FileLock lock;
-    /** Number of the last list read or written; the next one goes to the other file. */
+    /** Sequence number of the last list read or written; the next list is written to the other file. */
     private long sequence;
 
     /**
-     * A store that touches no file yet.
+     * Creates a store, without any access to files.
      *
-     * @param fleet        lists of another fleet are not read
-     * @param maxFileBytes of a file that is read or written; ten thousand endpoints need 2 MiB
+     * @param fleet        lists of any other fleet are not read
+     * @param maxFileBytes maximum size of a file that is read or written; ten thousand endpoints need 2 MiB
      */
     public EndpointListStore(Path folder, String fleet, int maxFileBytes) {
         this.folder = folder;
@@ -48,13 +49,13 @@
     }
 
     /**
-     * The newest intact list of this fleet; empty where there is none, as where the folder does not exist.
+     * Reads the newest intact list of this fleet; empty if there is none or the folder does not exist.
      *
-     * @param log receives one line for each file that can't be used
+     * @param log receives one message for each file that can't be used
      */
     public Optional<EndpointList> read(Consumer<String> log) {
         EndpointListFile newest = null;
-        for (int slot = 0; slot < FILES; slot++) {
+        for (int slot = 0; slot < FILE_COUNT; slot++) {
             Path file = slotFile(slot);
             try {
                 EndpointListFile found = EndpointListFile.decode(readFile(file), fleet);
@@ -62,9 +63,9 @@
                     newest = found;
                 }
             } catch (NoSuchFileException exception) {
-                // Not written yet.
+                // The file has not been written yet.
             } catch (IOException | RuntimeException exception) {
-                // Whatever a damaged file triggers in its readers must not end the start.
+                // No exception that a damaged file causes may prevent the sidecar from starting.
                 log.accept("the list in " + file + " can't be used: " + describe(exception));
             }
         }
@@ -78,7 +79,7 @@
     private byte[] readFile(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
             if (channel.size() > maxFileBytes) {
-                throw new IOException("it holds " + channel.size() + " bytes, more than " + maxFileBytes);
+                throw new IOException("the file has " + channel.size() + " bytes, more than " + maxFileBytes);
             }
             ByteBuffer buffer = ByteBuffer.allocate((int) channel.size());
             int count = 0;
@@ -90,9 +91,10 @@
     }
 
     /**
-     * Locks the folder for this sidecar, creating it where it does not exist; no effect while the lock is held and its file exists.
+     * Locks the folder for this sidecar, and creates it if it does not exist. No effect while the lock is held and the
+     * lock file exists.
      *
-     * @throws IOException where the folder can't be created, or another sidecar holds the lock
+     * @throws IOException if the folder can't be created, or another sidecar holds the lock
      */
     public void lockFolder() throws IOException {
         if (lock != null && lock.isValid() && Files.exists(lockPath())) {
@@ -110,27 +112,28 @@
             close();
             throw new IOException("another sidecar keeps its list in " + folder);
         }
-        // The sequence found decides which of the two files is overwritten next.
+        // Updates the sequence number, which decides which of the two files is overwritten next.
         read(line -> {});
     }
 
     /**
-     * Writes the list over the older of the two files. Locks the folder first, and again if it vanished.
+     * Overwrites the older of the two files with the list. Locks the folder before, also if the folder has been deleted
+     * since the last write.
      *
-     * @throws IOException where the folder can't be locked or written, or the list needs more bytes than a file may have
+     * @throws IOException if the folder can't be locked or written, or the list needs more bytes than a file may have
      */
     public void write(EndpointList list) throws IOException {
         lockFolder();
         long next = sequence + 1;
         byte[] file = new EndpointListFile(next, list).encode(fleet);
         if (file.length > maxFileBytes) {
-            throw new IOException("a list of " + file.length + " bytes is too long to be kept");
+            throw new IOException("the list takes " + file.length + " bytes, which is too long for a file");
         }
         Path temporary = folder.resolve("list.new");
         writeSynced(temporary, file);
         Files.move(
                 temporary,
-                slotFile((int) (next % FILES)),
+                slotFile((int) (next % FILE_COUNT)),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
@@ -158,19 +161,22 @@
         return folder.resolve("list.lock");
     }
 
-    /** One line on what went wrong; the messages of file system exceptions name the path alone. */
+    /**
+     * Describes an exception in one line. Messages of file system exceptions contain only the path, so their type is
+     * added.
+     */
     static String describe(Exception exception) {
         String type = exception.getClass().getSimpleName();
         String message = exception.getMessage() == null ? type : exception.getMessage();
         return exception instanceof FileSystemException ? type + " " + message : message;
     }
 
-    /** Releases the folder. */
+    /** Unlocks the folder. */
     @Override
     public void close() throws IOException {
         lock = null;
         if (lockFile != null) {
-            // Ends the lock too.
+            // Closing the file releases the lock too.
             lockFile.close();
             lockFile = null;
         }
--- a/src/main/java/loadbalancer/membership/disk/EndpointListWriter.java
+++ b/src/main/java/loadbalancer/membership/disk/EndpointListWriter.java
@@ -9,8 +9,9 @@
 import loadbalancer.membership.EndpointList;
 
 /**
- * Writes endpoint lists to an {@link EndpointListStore} from a thread of its own, at a bounded rate. Any thread may submit lists; only
- * the newest waits. Of writes that fail in a row the first is logged, and the first success after them.
+ * Writes endpoint lists to an {@link EndpointListStore} on its own thread, at a limited rate. Any thread may submit
+ * lists; only the newest one is kept until it is written. Of consecutive failed writes only the first is logged, and
+ * then the next success.
  */
 public final class EndpointListWriter implements AutoCloseable {
     private static final long CLOSE_TIMEOUT_SECONDS = 1;
@@ -21,14 +22,15 @@
     private final Consumer<String> log;
     private final ScheduledThreadPoolExecutor executor;
     private final AtomicReference<EndpointList> pending = new AtomicReference<>();
-    /** Whether the last write failed; the writer's thread's. */
+    /** Whether the last write failed. Only the writer's thread accesses it. */
     private boolean failing;
 
     /**
-     * A writer that owns {@code store} and closes it.
+     * Creates a writer that owns {@code store} and closes it.
      *
      * @param clockMicros any time in microseconds that moves forward
-     * @param log         receives one line when writes begin to fail and one when they succeed again, on the writer's thread
+     * @param log         receives one message when writes begin to fail and one when they succeed again, on the
+     *                    writer's thread
      */
     public EndpointListWriter(
             EndpointListStore store, int maxWritesPerMinute, LongSupplier clockMicros, Consumer<String> log) {
@@ -46,7 +48,10 @@
         return thread;
     }
 
-    /** Writes {@code list} as soon as the rate allows, unless a newer one is submitted before. Returns at once. */
+    /**
+     * Schedules {@code list} to be written as soon as the rate allows, unless a newer one is submitted before. Does not
+     * block.
+     */
     public void submit(EndpointList list) {
         if (pending.getAndSet(list) == null && !executor.isShutdown()) {
             executor.execute(this::writeWhenAllowed);
@@ -54,7 +59,7 @@
     }
 
     private void writeWhenAllowed() {
-        long waitMicros = rateLimiter.tryWriteMicros(clockMicros.getAsLong());
+        long waitMicros = rateLimiter.acquireOrWaitMicros(clockMicros.getAsLong());
         if (waitMicros > 0) {
             executor.schedule(this::writeWhenAllowed, waitMicros, TimeUnit.MICROSECONDS);
         } else {
@@ -70,19 +75,20 @@
         try {
             store.write(list);
             if (failing) {
-                log.accept("the list is kept on disk again");
+                log.accept("the endpoint list can be written to disk again");
             }
             failing = false;
         } catch (IOException | RuntimeException exception) {
-            // Service does not depend on the disk: nothing that a write throws may end this thread.
+            // Requests are served without the disk, so no exception of a write may end this thread.
             if (!failing) {
-                log.accept("the list can't be kept on disk, service goes on: " + EndpointListStore.describe(exception));
+                log.accept("the endpoint list can't be written to disk, requests are still served: "
+                        + EndpointListStore.describe(exception));
             }
             failing = true;
         }
     }
 
-    /** Writes the pending list, if that takes no longer than a second, and closes the store. */
+    /** Writes the pending list, waiting for at most a second, and closes the store. */
     @Override
     public void close() {
         try {
@@ -101,7 +107,7 @@
         try {
             store.close();
         } catch (IOException exception) {
-            log.accept("the list's folder can't be released: " + EndpointListStore.describe(exception));
+            log.accept("the folder of the endpoint list can't be unlocked: " + EndpointListStore.describe(exception));
         }
     }
 }
--- a/src/main/java/loadbalancer/membership/disk/WriteRateLimiter.java
+++ b/src/main/java/loadbalancer/membership/disk/WriteRateLimiter.java
@@ -1,8 +1,8 @@
 package loadbalancer.membership.disk;
 
-/** A token bucket for writes. Pure; times in microseconds. */
+/** A token bucket that limits the rate of writes. Time is a parameter, in microseconds. */
 final class WriteRateLimiter {
-    /** Writes that may follow each other at once. */
+    /** Number of writes that may follow each other without a wait. */
     private static final double MAX_BURST = 3;
 
     private static final double MICROS_PER_MINUTE = 60e6;
@@ -16,8 +16,8 @@
         updatedMicros = nowMicros;
     }
 
-    /** Takes the token of a write and returns 0; where there is none, returns how long to wait before asking again. */
-    long tryWriteMicros(long nowMicros) {
+    /** Takes a token for a write and returns 0; if there is none, returns the time to wait before trying again. */
+    long acquireOrWaitMicros(long nowMicros) {
         tokens = Math.min(MAX_BURST, tokens + Math.max(0, nowMicros - updatedMicros) * tokensPerMicro);
         updatedMicros = nowMicros;
         if (tokens >= 1) {
--- a/src/main/java/loadbalancer/membership/disk/package-info.java
+++ b/src/main/java/loadbalancer/membership/disk/package-info.java
@@ -1,2 +1,2 @@
-/** The endpoint list on disk, from which a sidecar starts while discovery is down. */
+/** Stores the endpoint list on disk, so that a sidecar can start from it while discovery is down. */
 package loadbalancer.membership.disk;
--- a/src/main/java/loadbalancer/membership/package-info.java
+++ b/src/main/java/loadbalancer/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The endpoint list of a sidecar, merged from configuration, disk and discovery. Pure: no I/O, no threads, time is a parameter in
- * microseconds (Unix time, moved forward only).
+ * The endpoint list of a sidecar, merged from configuration, disk and discovery. No I/O, no threads; time is a
+ * parameter, in microseconds of Unix time, and never decreases.
  */
 package loadbalancer.membership;
--- a/src/test/java/loadbalancer/membership/EndpointChecksTest.java
+++ b/src/test/java/loadbalancer/membership/EndpointChecksTest.java
@@ -22,11 +22,11 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-/** The checks of unverified endpoints: rate, order and effect; time is the test's. */
+/** Rate, order and effect of the checks of unverified endpoints, with time set by the test. */
 class EndpointChecksTest {
-    /** A list of a thousand dead endpoints, over a minute. */
+    /** Checks a list of a thousand dead endpoints for a minute. */
     @Test
-    void boundsTheRateOfChecksThatFail() {
+    void limitsTheRateOfFailingChecks() {
         Membership membership = membership();
         membership.start(
                 NOW,
@@ -39,22 +39,22 @@
                                 .mapToObj(i -> endpoint(
                                         "u" + i, "10.0." + i / 250 + "." + i % 250 + ":80", 0, UpstreamState.READY))
                                 .toList())));
-        int checked = 0;
+        int checkCount = 0;
         for (long elapsedMicros = 0; elapsedMicros < 60 * SECOND; elapsedMicros += 50_000) {
             List<Endpoint> begun = membership.beginChecks(NOW + elapsedMicros);
-            checked += begun.size();
-            assertTrue(begun.size() <= 8, begun.size() + " at once");
+            checkCount += begun.size();
+            assertTrue(begun.size() <= 8, begun.size() + " checks at once");
             for (Endpoint endpoint : begun) {
                 membership.onCheckResult(
                         NOW + elapsedMicros + 10_000, endpoint.id(), EndpointEvidence.REFUSES_CONNECTIONS);
             }
         }
-        assertTrue(checked <= 8 + 60 * 4 && checked > 60 * 3, checked + " checks");
+        assertTrue(checkCount <= 8 + 60 * 4 && checkCount > 60 * 3, checkCount + " checks");
     }
 
-    /** A list that is right after all comes into use as fast as its endpoints respond. */
+    /** A stale list that is still correct comes into use as fast as its endpoints respond. */
     @Test
-    void doesNotBoundTheRateOfChecksThatSucceed() {
+    void doesNotLimitTheRateOfSuccessfulChecks() {
         Membership membership = membership();
         membership.start(
                 NOW,
@@ -75,26 +75,26 @@
         assertEquals(25, rounds);
     }
 
-    /** An endpoint is never given up: its machine may come back. */
+    /** Checks of an endpoint never end, because its machine may come back. */
     @Test
     void repeatsFailedChecksAfterGrowingDelays() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(41, DAY, ready(1))));
-        List<Long> times = new ArrayList<>();
+        List<Long> checkTimes = new ArrayList<>();
         for (long elapsedMicros = 0; elapsedMicros < 300 * SECOND; elapsedMicros += 100_000) {
             if (!membership.beginChecks(NOW + elapsedMicros).isEmpty()) {
-                times.add(elapsedMicros);
+                checkTimes.add(elapsedMicros);
                 membership.onCheckResult(NOW + elapsedMicros, "u1", EndpointEvidence.NO_RESPONSE);
             }
         }
-        assertTrue(times.size() >= 10 && times.size() <= 30, times.toString());
-        assertTrue(times.get(1) < 2 * SECOND, times.toString());
-        for (int i = 1; i < times.size(); i++) {
-            assertTrue(times.get(i) - times.get(i - 1) <= 46 * SECOND, times.toString());
+        assertTrue(checkTimes.size() >= 10 && checkTimes.size() <= 30, checkTimes.toString());
+        assertTrue(checkTimes.get(1) < 2 * SECOND, checkTimes.toString());
+        for (int i = 1; i < checkTimes.size(); i++) {
+            assertTrue(checkTimes.get(i) - checkTimes.get(i - 1) <= 46 * SECOND, checkTimes.toString());
         }
     }
 
-    /** Two sidecars do not check the nodes of one list in the same order. */
+    /** The sidecars of a fleet must not all check the endpoints of a list in the same order. */
     @Test
     void checksInADifferentOrderForEachSeed() {
         List<String> orders = new ArrayList<>();
@@ -114,7 +114,7 @@
         assertTrue(orders.stream().distinct().count() > 1, orders.toString());
     }
 
-    /** Whatever comes in whatever order: nobody is used that was neither fresh, verified nor listed live. */
+    /** Applies random sequences of check results and lists from discovery to a stale list. */
     @Test
     void usesOnlyEndpointsThatAreVerifiedOrListedByDiscovery() {
         for (long seed = 0; seed < 300; seed++) {
@@ -123,7 +123,7 @@
             List<String> verified = new ArrayList<>();
             List<String> listed = new ArrayList<>();
             boolean confirmed = false;
-            EndpointChange last = membership.start(
+            EndpointChange lastChange = membership.start(
                     NOW,
                     List.of(stored(
                             41,
@@ -136,20 +136,22 @@
                 nowMicros += random.nextLong(SECOND);
                 switch (random.nextInt(8)) {
                     case 0 -> {
-                        int[] names =
+                        int[] numbers =
                                 random.ints(random.nextInt(5), 0, 20).distinct().toArray();
                         EndpointChange change = membership.onDiscoveryList(
                                 nowMicros,
                                 discovered(
                                         50 + step,
                                         true,
-                                        Arrays.stream(names)
+                                        Arrays.stream(numbers)
                                                 .mapToObj(EndpointFixtures::ready)
                                                 .toArray(Endpoint[]::new)));
-                        if (names.length > 0) {
+                        if (numbers.length > 0) {
                             confirmed = true;
-                            listed = Arrays.stream(names).mapToObj(i -> "u" + i).toList();
-                            last = change;
+                            listed = Arrays.stream(numbers)
+                                    .mapToObj(i -> "u" + i)
+                                    .toList();
+                            lastChange = change;
                         }
                     }
                     default -> {
@@ -160,7 +162,7 @@
                             if (evidence == EndpointEvidence.RESPONDS_AS_UPSTREAM
                                     || evidence == EndpointEvidence.ACCEPTS_CONNECTIONS) {
                                 verified.add(endpoint.id());
-                                last = change;
+                                lastChange = change;
                             }
                         }
                     }
@@ -168,7 +170,7 @@
                 List<String> usable = confirmed ? listed : verified;
                 assertEquals(
                         usable.stream().sorted().toList(),
-                        sortedIds(last.endpoints()),
+                        sortedIds(lastChange.endpoints()),
                         "seed " + seed + " step " + step);
             }
         }
--- a/src/test/java/loadbalancer/membership/EndpointFixtures.java
+++ b/src/test/java/loadbalancer/membership/EndpointFixtures.java
@@ -4,7 +4,7 @@
 import loadbalancer.balancing.Balancer.Upstream;
 import loadbalancer.balancing.Balancer.UpstreamState;
 
-/** Lists and endpoints of the tests of this package. Times in microseconds. */
+/** Endpoints and lists for the tests of this package. Times in microseconds. */
 final class EndpointFixtures {
     static final long SECOND = 1_000_000;
     static final long DAY = 86_400 * SECOND;
@@ -26,17 +26,17 @@
         return new Endpoint(new Upstream(id, "z", "k", 0, startedMicros, 1, state), address);
     }
 
-    /** Ready, with id and address of its number. */
+    /** A ready endpoint whose id and address contain {@code number}. */
     static Endpoint ready(int number) {
         return endpoint("u" + number, "10.0.0." + number + ":80", 0, UpstreamState.READY);
     }
 
-    /** A complete list on disk, of this age at {@link #NOW}. */
+    /** A complete list from disk that has this age at {@link #NOW}. */
     static EndpointList stored(long generation, long ageMicros, Endpoint... endpoints) {
         return new EndpointList(ListSource.DISK, generation, true, NOW - ageMicros, List.of(endpoints));
     }
 
-    /** A list of discovery's at {@link #NOW}. */
+    /** A list from discovery at {@link #NOW}. */
     static EndpointList discovered(long generation, boolean complete, Endpoint... endpoints) {
         return new EndpointList(ListSource.DISCOVERY, generation, complete, NOW, List.of(endpoints));
     }
--- a/src/test/java/loadbalancer/membership/MembershipTest.java
+++ b/src/test/java/loadbalancer/membership/MembershipTest.java
@@ -19,10 +19,10 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-/** How lists of any age are merged to the endpoint list; time is the test's. */
+/** How endpoint lists of any age are merged, with time set by the test. */
 class MembershipTest {
     @Test
-    void acceptsAnyListUncheckedWhereThePolicyAcceptsAll() {
+    void acceptsAnyListWithoutChecksIfThePolicyAcceptsAll() {
         Endpoint old = endpoint("u1", "10.0.0.1:80", NOW - DAY, UpstreamState.READY);
         EndpointChange change = membership(StalenessPolicy.ACCEPT_ALL)
                 .start(NOW, List.of(new EndpointList(ListSource.CONFIGURED, 41, true, 0, List.of(old))));
@@ -30,7 +30,9 @@
         assertEquals(List.of(), change.logMessages());
     }
 
-    /** A node of a fresh list may have restarted since. */
+    /**
+     * The endpoints of a fresh list are in slow start, because any of them may have restarted since the list was made.
+     */
     @Test
     void usesAFreshListAtOnceWithItsEndpointsInSlowStart() {
         Membership membership = membership();
@@ -53,11 +55,12 @@
         assertEquals(List.of(), start.endpoints());
         assertTrue(start.complete());
         assertEquals(List.of("u1", "u2", "u3"), sortedIds(membership.beginChecks(NOW)));
-        assertEquals(List.of(), membership.beginChecks(NOW), "an endpoint is checked twice at the same time");
-        EndpointChange one = membership.onCheckResult(NOW + 1000, "u2", EndpointEvidence.RESPONDS_AS_UPSTREAM);
-        assertEquals(List.of("u2"), ids(one));
-        assertEquals(Uncertainty.IDENTITY, one.endpoints().get(0).upstream().uncertainty());
-        assertEquals(NOW + 1000, one.endpoints().get(0).upstream().latestStartMicros());
+        assertEquals(List.of(), membership.beginChecks(NOW), "no endpoint may be checked twice at the same time");
+        EndpointChange verified = membership.onCheckResult(NOW + 1000, "u2", EndpointEvidence.RESPONDS_AS_UPSTREAM);
+        assertEquals(List.of("u2"), ids(verified));
+        assertEquals(
+                Uncertainty.IDENTITY, verified.endpoints().get(0).upstream().uncertainty());
+        assertEquals(NOW + 1000, verified.endpoints().get(0).upstream().latestStartMicros());
         for (EndpointEvidence evidence :
                 List.of(EndpointEvidence.REFUSES_CONNECTIONS, EndpointEvidence.NOT_AN_UPSTREAM)) {
             assertTrue(membership
@@ -67,9 +70,9 @@
         assertEquals(2, membership.unverifiedCount());
     }
 
-    /** Without health checks only a response shows that an upstream accepted the connection. */
+    /** Without health checks only a response to a request shows that an upstream listens at the address. */
     @Test
-    void doubtsTheServiceOfAnEndpointThatOnlyAcceptsConnectionsUntilItHasResponded() {
+    void serviceOfAnEndpointThatAcceptsConnectionsIsUncertainUntilItResponds() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(41, DAY, ready(1))));
         membership.beginChecks(NOW);
@@ -85,7 +88,7 @@
                 Uncertainty.IDENTITY,
                 membership.onResponse("u1").endpoints().get(0).upstream().uncertainty());
         assertTrue(membership.onResponse("u1").isEmpty());
-        assertTrue(membership.onResponse("nobody").isEmpty());
+        assertTrue(membership.onResponse("unlisted").isEmpty());
     }
 
     @Test
@@ -103,7 +106,7 @@
                 change.logMessages().toString());
     }
 
-    /** The sidecar waits for discovery. */
+    /** Without a usable list the sidecar has no endpoints until discovery responds. */
     @Test
     void startsEmptyWithoutAUsableList() {
         Membership membership = membership();
@@ -114,10 +117,10 @@
     }
 
     @Test
-    void startsFromTheHighestGenerationAndAmongEqualsFromTheLatest() {
+    void startsFromTheHighestGenerationAndThenFromTheLatestTime() {
         Membership membership = membership();
-        EndpointList known = new EndpointList(ListSource.CONFIGURED, 42, true, 0, List.of(ready(1)));
-        membership.start(NOW, List.of(known, stored(41, SECOND, ready(2))));
+        EndpointList configured = new EndpointList(ListSource.CONFIGURED, 42, true, 0, List.of(ready(1)));
+        membership.start(NOW, List.of(configured, stored(41, SECOND, ready(2))));
         assertEquals(42, membership.generation());
         Membership other = membership();
         assertEquals(
@@ -129,9 +132,9 @@
                                 stored(41, SECOND, ready(2))))));
     }
 
-    /** A list that names a start of three seconds ago was not written before that. */
+    /** A list with an endpoint that started three seconds ago can't be older than that. */
     @Test
-    void boundsTheAgeOfAListByTheNewestStartThatItNames() {
+    void limitsTheAgeOfAListWithoutATimeByItsLatestStart() {
         Endpoint started = endpoint("u1", "10.0.0.1:80", NOW - 3 * SECOND, UpstreamState.READY);
         EndpointChange change = membership()
                 .start(NOW, List.of(new EndpointList(ListSource.CONFIGURED, 1, true, 0, List.of(started, ready(2)))));
@@ -141,10 +144,10 @@
                 membership()
                         .start(NOW, List.of(new EndpointList(ListSource.CONFIGURED, 1, true, 0, List.of(ready(2)))))
                         .endpoints(),
-                "a list of unknown age was taken for a fresh one");
+                "a list of unknown age must not be used as a fresh one");
     }
 
-    /** The clock was set back, or another machine's ran ahead. */
+    /** The clock was set back, or the clock of the machine that wrote the list was ahead. */
     @Test
     void treatsAListFromTheFutureAsStale() {
         Membership membership = membership();
@@ -156,9 +159,9 @@
                 change.logMessages().toString());
     }
 
-    /** A node's address may be taken over by its successor. */
+    /** A new upstream may have taken over the address of an earlier one. */
     @Test
-    void checksOnlyTheLatestStartedOfTwoEndpointsWithOneAddress() {
+    void checksOnlyTheLatestStartedOfTwoEndpointsWithTheSameAddress() {
         Membership membership = membership();
         membership.start(
                 NOW,
@@ -171,14 +174,14 @@
     }
 
     @Test
-    void doesNotCheckEndpointsThatWereDraining() {
+    void doesNotCheckDrainingEndpoints() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(41, DAY, endpoint("u1", "10.0.0.1:80", 0, UpstreamState.DRAINING))));
         assertEquals(List.of(), membership.beginChecks(NOW));
     }
 
     @Test
-    void confirmsEndpointsThatDiscoverysChangesDoNotName() {
+    void confirmsEndpointsThatChangesFromDiscoveryDoNotContain() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(41, 7 * DAY, ready(1), ready(2))));
         EndpointChange change = membership.onDiscoveryList(
@@ -192,7 +195,7 @@
         assertEquals(43, membership.generation());
     }
 
-    /** The list on disk is wrong in every way. */
+    /** None of the endpoints in the list on disk exists any more. */
     @Test
     void replacesAllEndpointsByACompleteListAndIgnoresLaterCheckResults() {
         Membership membership = membership();
@@ -212,7 +215,7 @@
     }
 
     @Test
-    void ignoresAnEmptyList() {
+    void ignoresAnEmptyCompleteList() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(41, SECOND, ready(1))));
         EndpointChange change = membership.onDiscoveryList(NOW, discovered(60, true));
@@ -222,9 +225,9 @@
         assertEquals(41, membership.generation());
     }
 
-    /** A service that was restored from an old copy counts from below. */
+    /** A discovery service that was restored from a backup continues from an earlier generation. */
     @Test
-    void usesAnOlderListOfDiscoverysAndLogsIt() {
+    void appliesAnOlderListFromDiscoveryAndLogsIt() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(90, SECOND, ready(1), ready(2))));
         EndpointChange change = membership.onDiscoveryList(NOW, discovered(5, true, ready(2)));
@@ -235,9 +238,9 @@
                 change.logMessages().toString());
     }
 
-    /** Without the complete list each time. */
+    /** Only the changed endpoints are passed on, not the complete list each time. */
     @Test
-    void passesOnChangesOnceConfirmed() {
+    void passesOnOnlyChangesOnceConfirmed() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(41, SECOND, ready(1), ready(2))));
         membership.onDiscoveryList(NOW, discovered(41, false));
@@ -247,10 +250,10 @@
         assertEquals(List.of("u1"), ids(change));
         assertTrue(membership.onDiscoveryList(NOW, discovered(42, false)).isEmpty());
         membership.onDiscoveryList(NOW, discovered(43, false, endpoint("u1", "10.0.0.1:80", 0, UpstreamState.GONE)));
-        assertEquals(1, membership.size(), "a removed endpoint is still listed");
+        assertEquals(1, membership.size(), "a removed endpoint must not be listed");
     }
 
-    /** A failed connection may be a restart that nobody reports. */
+    /** The failed connection may be due to a restart, which nothing reports while discovery does not respond. */
     @Test
     void restartsSlowStartAfterAFailedConnectionWhileDiscoveryDoesNotRespond() {
         Membership membership = membership();
@@ -269,7 +272,7 @@
         membership.onDiscoveryList(NOW + 10 * SECOND, discovered(41, false));
         assertTrue(
                 membership.onConnectFailure(NOW + 11 * SECOND, "u1", false).isEmpty(),
-                "discovery would have reported it");
+                "discovery responds, so it would have reported a restart");
         membership.onDiscoveryFailure();
         assertEquals(
                 NOW + 12 * SECOND,
@@ -293,11 +296,11 @@
     }
 
     /**
-     * Found by a search in the laboratory: a process died and was back before discovery had noticed either, and until it did the
-     * fleet sent it what a warm node can do, 3.3 times what it could.
+     * Guards against a failure that the fault search found: a process exited and restarted before discovery noticed,
+     * and until then the fleet sent it the load of a warm upstream, 3.3 times its capacity.
      */
     @Test
-    void restartsSlowStartWhereNothingListensThoughDiscoveryHasNotNoticed() {
+    void restartsSlowStartAfterARefusedConnectionBeforeDiscoveryNoticesTheRestart() {
         Membership membership = membership();
         membership.start(NOW, List.of(stored(41, SECOND, ready(1), ready(2))));
         membership.onDiscoveryList(NOW, discovered(41, false));
@@ -309,22 +312,22 @@
                         .get(0)
                         .upstream()
                         .latestStartMicros(),
-                "the same as at other sidecars");
+                "slow start must begin at the same time as at other sidecars");
         assertTrue(
                 membership.onConnectFailure(NOW + SECOND + 400_000, "u1", true).isEmpty(),
-                "one restart costs one change");
+                "one restart must cause only one change");
         membership.onDiscoveryList(NOW + 2 * SECOND, discovered(42, false, ready(3)));
-        EndpointChange late = membership.onDiscoveryList(NOW + 3 * SECOND, discovered(43, false, ready(1)));
+        EndpointChange outdated = membership.onDiscoveryList(NOW + 3 * SECOND, discovered(43, false, ready(1)));
         assertEquals(
                 NOW + 1_500_000,
-                late.endpoints().get(0).upstream().latestStartMicros(),
-                "a list of before the restart");
+                outdated.endpoints().get(0).upstream().latestStartMicros(),
+                "a list from before the restart must not end the slow start");
         EndpointChange complete = membership.onDiscoveryList(
                 NOW + 4 * SECOND,
                 discovered(44, true, endpoint("u1", "10.0.0.1:80", NOW + 2 * SECOND, UpstreamState.READY)));
         assertEquals(
                 NOW + 2 * SECOND,
                 complete.endpoints().get(0).upstream().latestStartMicros(),
-                "its start, once discovery reports it");
+                "slow start must begin at the start time that discovery reports");
     }
 }
--- a/src/test/java/loadbalancer/membership/OutOfServiceUpstreamsTest.java
+++ b/src/test/java/loadbalancer/membership/OutOfServiceUpstreamsTest.java
@@ -11,7 +11,7 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-/** Upstreams that operators take out of service, through {@link Membership}. */
+/** Effect of taking upstreams out of service, tested through {@link Membership}. */
 class OutOfServiceUpstreamsTest {
     private static final long NOW = 1_700_000_000_000_000L;
     private static final long SECOND = 1_000_000;
@@ -46,18 +46,21 @@
     }
 
     @Test
-    void drainsWhileOutOfServiceWhateverListsSayAndReturnsInSlowStart() {
+    void drainsWhileOutOfServiceRegardlessOfListsAndReturnsInSlowStart() {
         Membership membership = startedMembership();
         assertTrue(membership.setOutOfService(NOW, "a", true).complete());
         assertEquals(UpstreamState.DRAINING, usableUpstream(membership, "a").state());
         assertEquals(UpstreamState.READY, usableUpstream(membership, "b").state());
-        // Confirmed, gone and back at another address with a new start, a complete list: still out of service.
+        // It stays out of service when it is confirmed, removed, listed again with another address and start, and in a
+        // complete list.
         membership.onDiscoveryList(NOW + SECOND, discovered(2, false, endpoint("a", UpstreamState.READY, 0, 1)));
         membership.onDiscoveryList(NOW + SECOND, discovered(3, false, endpoint("a", UpstreamState.GONE, 0, 1)));
         assertTrue(membership.isKnown("a"));
-        EndpointChange back = membership.onDiscoveryList(
+        EndpointChange listedAgain = membership.onDiscoveryList(
                 NOW + SECOND, discovered(4, false, endpoint("a", UpstreamState.READY, NOW, 9)));
-        assertEquals(UpstreamState.DRAINING, back.endpoints().get(0).upstream().state());
+        assertEquals(
+                UpstreamState.DRAINING,
+                listedAgain.endpoints().get(0).upstream().state());
         membership.onDiscoveryList(
                 NOW + SECOND,
                 discovered(
@@ -69,7 +72,7 @@
         long slowStartFromMicros = usableUpstream(membership, "a").latestStartMicros();
         assertTrue(
                 slowStartFromMicros >= returnMicros && slowStartFromMicros <= returnMicros + SECOND / 2,
-                "slow start from " + (slowStartFromMicros - returnMicros));
+                "slow start begins " + (slowStartFromMicros - returnMicros) + " us after the return");
         // An earlier start that discovery reports does not end the slow start.
         membership.onDiscoveryList(
                 returnMicros + SECOND, discovered(6, true, endpoint("a", UpstreamState.READY, NOW + 5 * SECOND, 9)));
@@ -87,7 +90,7 @@
     }
 
     @Test
-    void knowsOnlyListedUpstreamsAndDoesNotOverruleADrain() {
+    void knowsOnlyListedUpstreamsAndKeepsTheDrainingStateOfDiscovery() {
         Membership membership = startedMembership();
         assertFalse(membership.isKnown("c"));
         membership.onDiscoveryList(NOW, discovered(2, false, endpoint("b", UpstreamState.DRAINING, 0, 2)));
@@ -97,7 +100,7 @@
     }
 
     @Test
-    void forgetsAnUpstreamADayAfterItsLastList() {
+    void forgetsAnUpstreamADayAfterItWasLastListed() {
         Membership membership = startedMembership();
         membership.setOutOfService(NOW, "a", true);
         membership.onDiscoveryList(NOW + SECOND, discovered(2, true, endpoint("b", UpstreamState.READY, 0, 2)));
@@ -111,13 +114,15 @@
         assertFalse(membership.isKnown("a"));
     }
 
-    /** Over random sequences: an upstream that is out of service is never presented as ready. */
+    /**
+     * Applies random sequences of lists and operator actions: an upstream that is out of service must never be ready.
+     */
     @Test
-    void staysOutOfServiceOverAnySequenceOfLists() {
+    void staysOutOfServiceInAnySequenceOfLists() {
         for (long seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Membership membership = startedMembership();
-            List<String> out = new ArrayList<>();
+            List<String> outOfService = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 long nowMicros = NOW + i * SECOND;
                 String id = random.nextBoolean() ? "a" : "b";
@@ -125,13 +130,13 @@
                     case 0 -> {
                         if (membership.isKnown(id)) {
                             membership.setOutOfService(nowMicros, id, true);
-                            out.remove(id);
-                            out.add(id);
+                            outOfService.remove(id);
+                            outOfService.add(id);
                         }
                     }
                     case 1 -> {
                         membership.setOutOfService(nowMicros, id, false);
-                        out.remove(id);
+                        outOfService.remove(id);
                     }
                     case 2 -> membership.onDiscoveryList(
                             nowMicros,
@@ -148,10 +153,11 @@
                 }
                 for (Endpoint endpoint : membership.usableEndpoints()) {
                     boolean ready = endpoint.upstream().state() == UpstreamState.READY;
-                    assertFalse(ready && out.contains(endpoint.upstream().id()), "seed " + seed + ", step " + i);
+                    assertFalse(
+                            ready && outOfService.contains(endpoint.upstream().id()), "seed " + seed + ", step " + i);
                 }
                 assertEquals(
-                        out.contains("a"),
+                        outOfService.contains("a"),
                         membership.outOfServiceUpstreams().outOfService().containsKey("a"));
             }
         }
--- a/src/test/java/loadbalancer/membership/StalenessPolicyTest.java
+++ b/src/test/java/loadbalancer/membership/StalenessPolicyTest.java
@@ -7,7 +7,6 @@
 import loadbalancer.membership.StalenessPolicy.Staleness;
 import org.junit.jupiter.api.Test;
 
-/** Ages at each bound. */
 class StalenessPolicyTest {
     private static final long NOW = 1_700_000_000_000_000L;
 
@@ -27,7 +26,7 @@
     }
 
     @Test
-    void assumesTheConfiguredAgeForAListWithoutATime() {
+    void classifiesAListWithoutATimeByTheAssumedAge() {
         assertEquals(
                 Staleness.STALE, new StalenessPolicy(30, 1_000, StalenessPolicy.AGE_UNKNOWN, 4, 8).classify(NOW, 0));
         assertEquals(Staleness.FRESH, new StalenessPolicy(30, 1_000, 0, 4, 8).classify(NOW, 0));
@@ -36,7 +35,7 @@
     }
 
     @Test
-    void classifiesNothingWhereAllListsAreAccepted() {
+    void doesNotClassifyListsIfThePolicyAcceptsAll() {
         for (long asOfMicros : new long[] {0, 1, NOW, NOW + 1_000}) {
             assertEquals(Staleness.UNCHECKED, StalenessPolicy.ACCEPT_ALL.classify(NOW, asOfMicros));
         }
--- a/src/test/java/loadbalancer/membership/discovery/DiscoveryListFormatTest.java
+++ b/src/test/java/loadbalancer/membership/discovery/DiscoveryListFormatTest.java
@@ -18,7 +18,7 @@
 import loadbalancer.membership.ListSource;
 import org.junit.jupiter.api.Test;
 
-/** Discovery's form of lists, read and written. */
+/** Reading and writing discovery's JSON format of endpoint lists. */
 class DiscoveryListFormatTest {
     private static final String ENTRY =
             "{\"instanceId\":\"s-1\",\"hostPort\":\"10.1.0.18:8081\",\"zone\":\"a\",\"machineType\":\"m2\","
@@ -63,9 +63,9 @@
                         .toList());
     }
 
-    /** The second port is at the same address. */
+    /** The gRPC port is at the same host. */
     @Test
-    void readsASecondPortForGrpc() {
+    void readsTheGrpcPort() {
         Endpoint endpoint = read(ENTRY.replace("\"cell\"", "\"grpcPort\":9090,\"cell\""))
                 .endpoints()
                 .get(0);
@@ -85,9 +85,9 @@
         assertEquals(1, upstream.weight());
     }
 
-    /** Endpoints that are missing from a complete list would count as gone. */
+    /** Skipping only the invalid endpoint would remove it, because endpoints that a complete list lacks are removed. */
     @Test
-    void rejectsTheWholeListAndNamesTheCause() {
+    void rejectsTheWholeListForOneInvalidEndpoint() {
         Map<String, String> messages = new LinkedHashMap<>();
         messages.put(ENTRY.replace("Ready", "ready"), "lifecycle 'ready' is unknown");
         messages.put(ENTRY.replace("10.1.0.18:8081", "host:8081"), "no address: 'host:8081'");
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void readsWhatItWrites() {
+    void readsListsThatItHasWritten() {
         for (String entry : List.of(
                 ENTRY,
                 ENTRY.replace("Ready", "Terminating"),
@@ -120,17 +120,17 @@
         }
     }
 
-    /** A name would be looked up, which blocks the event loop. */
+    /** Looking up a host name would block the event loop. */
     @Test
     void rejectsAddressesThatAreNotNumeric() {
         assertEquals(8081, Addresses.parse("10.1.0.18:8081").getPort());
         assertEquals(80, Addresses.parse("[::1]:80").getPort());
-        for (String none : new String[] {
+        for (String invalid : new String[] {
             "", ":", ":80", "localhost:80", "10.1.0.18:", "10.1.0.18:x", "10.1.0.18:-1", "10.1.0:80", "256.1.1.1:80"
         }) {
             assertEquals(
-                    "no address: '" + none + "'",
-                    assertThrows(IllegalArgumentException.class, () -> Addresses.parse(none), none)
+                    "no address: '" + invalid + "'",
+                    assertThrows(IllegalArgumentException.class, () -> Addresses.parse(invalid), invalid)
                             .getMessage());
         }
     }
--- a/src/test/java/loadbalancer/membership/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/membership/discovery/DiscoveryWatchTest.java
@@ -9,43 +9,54 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When a watch calls, on virtual time: what it misses counts as notified at stated times, whether or not it arrives. */
+/**
+ * Times of a watch's calls, on virtual time. Changes count as notified at fixed times whether or not they arrive, so a
+ * call without a response must be replaced in time.
+ */
 class DiscoveryWatchTest {
     private static final long GRACE_MILLIS = 250;
     private static final byte[] NO_CHANGE =
             "{\"generation\":41,\"reset\":false,\"instances\":[]}".getBytes(StandardCharsets.UTF_8);
 
     @Test
-    void restartsASilentCallToAServiceInTimeForAResponse() {
-        for (long askEveryS : new long[] {1, 2, 4, 10, 20, 60}) {
+    void restartsATimedOutCallToAServiceInTimeForAResponse() {
+        for (long pollIntervalSeconds : new long[] {1, 2, 4, 10, 20, 60}) {
             for (long seed = 1; seed <= 20; seed++) {
-                WatchHarness harness = new WatchHarness(false, askEveryS * 1_000_000, seed);
+                WatchHarness harness = new WatchHarness(false, pollIntervalSeconds * 1_000_000, seed);
                 harness.awaitCall(1).listener().onResponse(200, NO_CHANGE, true);
-                DiscoveryCall silent = harness.awaitCall(2);
-                int disconnectsBefore = harness.disconnects;
-                long notifiedMillis = silent.atMillis() + silent.waitMillis() + PollSchedule.NOTIFIED_AFTER_MILLIS;
-                DiscoveryCall again = harness.awaitCall(3);
-                String what = "asked every " + askEveryS + " s, seed " + seed + ": " + again;
-                assertTrue(notifiedMillis + GRACE_MILLIS - again.atMillis() >= 1_700, what);
-                assertEquals(0, again.waitMillis(), what + ": its response must not wait for a change");
-                assertTrue(harness.disconnects > disconnectsBefore, "the connection of the silent call is used again");
-                assertEquals(List.of(), harness.failedMillis, "one silence is no failure: the balancer would back off");
+                DiscoveryCall timedOut = harness.awaitCall(2);
+                int disconnectsBefore = harness.disconnectCount;
+                long notifiedMillis = timedOut.atMillis() + timedOut.waitMillis() + PollSchedule.NOTIFIED_AFTER_MILLIS;
+                DiscoveryCall restarted = harness.awaitCall(3);
+                String context = "poll interval " + pollIntervalSeconds + " s, seed " + seed + ": " + restarted;
+                assertTrue(notifiedMillis + GRACE_MILLIS - restarted.atMillis() >= 1_700, context);
+                assertEquals(0, restarted.waitMillis(), context + ": its response must not wait for a change");
+                assertTrue(
+                        harness.disconnectCount > disconnectsBefore,
+                        "the connection of the timed out call must not be used again");
+                assertEquals(
+                        List.of(),
+                        harness.failedMillis,
+                        "a single timeout is not a failure, because the balancer would back off");
                 harness.runUntilMillis(notifiedMillis + 1);
-                assertEquals(1, harness.failedMillis.size(), what + ": silent twice, the balancer must be notified");
+                assertEquals(
+                        1,
+                        harness.failedMillis.size(),
+                        context + ": the balancer must be notified of a second timeout in a row");
             }
         }
     }
 
-    /** In either order: the list is accepted, or asked for again from the same version. */
+    /** In either order of the two, the list is accepted or is requested again from the same version. */
     @Test
-    void losesNothingWhenAResponseAndItsTimeoutCoincide() {
-        for (boolean answerFirst : new boolean[] {true, false}) {
+    void losesNoChangeIfAResponseAndItsTimeoutCoincide() {
+        for (boolean responseFirst : new boolean[] {true, false}) {
             WatchHarness harness = new WatchHarness(false, 10_000_000, 5);
             harness.awaitCall(1).listener().onResponse(200, NO_CHANGE, true);
-            DiscoveryCall late = harness.awaitCall(2);
-            long timeoutMillis = late.atMillis() + late.waitMillis() + 500;
-            harness.runUntilMillis(answerFirst ? timeoutMillis - 1 : timeoutMillis);
-            late.listener()
+            DiscoveryCall lateCall = harness.awaitCall(2);
+            long timeoutMillis = lateCall.atMillis() + lateCall.waitMillis() + 500;
+            harness.runUntilMillis(responseFirst ? timeoutMillis - 1 : timeoutMillis);
+            lateCall.listener()
                     .onResponse(
                             200,
                             new String(NO_CHANGE, StandardCharsets.UTF_8)
@@ -53,21 +64,21 @@
                                     .getBytes(StandardCharsets.UTF_8),
                             true);
             DiscoveryCall next = harness.awaitCall(3);
-            assertTrue(next.uri().contains("?index=" + (answerFirst ? 42 : 41) + "&wait="), next.uri());
+            assertTrue(next.uri().contains("?index=" + (responseFirst ? 42 : 41) + "&wait="), next.uri());
             harness.runUntilMillis(timeoutMillis + 1);
-            assertEquals(3, harness.calls.size(), "the timeout of a call that was answered ended another");
+            assertEquals(3, harness.calls.size(), "the timeout of a completed call must not end the next call");
             assertEquals(List.of(), harness.failedMillis);
         }
     }
 
-    /** What an agent has when it is back counts as notified at once: a call must be open then. */
+    /** When an agent responds again, its changes count as notified at once, so a call must be open by then. */
     @Test
-    void restartsEverySilentCallToAnAgentAtOnce() {
+    void restartsEveryTimedOutCallToAnAgentAtOnce() {
         WatchHarness harness = new WatchHarness(true, 10_000_000, 7);
         harness.awaitCall(1).listener().onResponse(200, NO_CHANGE, true);
-        DiscoveryCall silent = harness.awaitCall(2);
-        assertTrue(silent.waitMillis() <= 1_000, silent.uri());
-        long previousMillis = silent.atMillis() + silent.waitMillis();
+        DiscoveryCall timedOut = harness.awaitCall(2);
+        assertTrue(timedOut.waitMillis() <= 1_000, timedOut.uri());
+        long previousMillis = timedOut.atMillis() + timedOut.waitMillis();
         harness.runUntilMillis(previousMillis + 8_000);
         for (DiscoveryCall call : harness.calls.subList(2, harness.calls.size())) {
             assertTrue(
@@ -78,53 +89,55 @@
         assertTrue(harness.calls.size() > 25, harness.calls.size() + " calls in 8 s");
     }
 
-    /** A growing backoff would end long after it is back. */
+    /** A growing backoff could end long after the agent responds again. */
     @Test
-    void retriesAFailingAgentSoonHoweverOftenItHasFailed() {
+    void retriesAFailingAgentWithoutGrowingBackoff() {
         WatchHarness harness = new WatchHarness(true, 10_000_000, 7);
         for (int i = 1; i <= 40; i++) {
             harness.awaitCall(i).listener().onFailure("no connection");
-            long ms = harness.awaitCall(i + 1).atMillis()
+            long delayMillis = harness.awaitCall(i + 1).atMillis()
                     - harness.calls.get(i - 1).atMillis();
-            assertTrue(ms >= 50 && ms <= 250, "asked again after " + ms + " ms");
+            assertTrue(delayMillis >= 50 && delayMillis <= 250, "retried after " + delayMillis + " ms");
         }
     }
 
-    /** What the new service has counts as notified 4 s after the new configuration. */
+    /** The list of the new service counts as notified 4 s after the address change. */
     @Test
-    void restartsASilentCallInTimeAfterAnAddressChange() {
-        for (boolean selfDriven : new boolean[] {false, true}) {
-            WatchHarness harness = new WatchHarness(selfDriven, 10_000_000, 3);
+    void restartsATimedOutCallInTimeAfterAnAddressChange() {
+        for (boolean selfPolling : new boolean[] {false, true}) {
+            WatchHarness harness = new WatchHarness(selfPolling, 10_000_000, 3);
             harness.awaitCall(1).listener().onResponse(200, NO_CHANGE, true);
             harness.runUntilMillis(3_000);
             long changedMillis = harness.currentMicros / 1000;
-            int calls = harness.calls.size();
+            int callCount = harness.calls.size();
             harness.watch.onAddressChanged();
-            assertEquals("/registry/instances", harness.awaitCall(calls + 1).uri());
-            DiscoveryCall again = harness.awaitCall(calls + 2);
-            assertEquals("/registry/instances", again.uri());
+            assertEquals("/registry/instances", harness.awaitCall(callCount + 1).uri());
+            DiscoveryCall restarted = harness.awaitCall(callCount + 2);
+            assertEquals("/registry/instances", restarted.uri());
             assertTrue(
                     PollSchedule.ADDRESS_CHANGE_NOTIFIED_AFTER_MILLIS
                                     + GRACE_MILLIS
-                                    - (again.atMillis() - changedMillis)
+                                    - (restarted.atMillis() - changedMillis)
                             >= 1_100,
-                    again.atMillis() - changedMillis + " ms after the move");
+                    "restarted " + (restarted.atMillis() - changedMillis) + " ms after the address change");
             assertEquals(List.of(), harness.failedMillis);
         }
     }
 
-    /** As one fails that has waited too long in a queue: the balancer's backoff would be too long. */
+    /**
+     * A call may fail because it waited too long in discovery's queue; the balancer's backoff would take too long then.
+     */
     @Test
     void restartsAFailedCallOnceAfterAnAddressChange() {
         WatchHarness harness = new WatchHarness(false, 10_000_000, 3);
         harness.awaitCall(1).listener().onResponse(200, NO_CHANGE, true);
         harness.runUntilMillis(3_000);
-        int calls = harness.calls.size();
+        int callCount = harness.calls.size();
         harness.watch.onAddressChanged();
-        harness.awaitCall(calls + 1).listener().onResponse(503, new byte[0], true);
-        assertEquals(3_000, harness.awaitCall(calls + 2).atMillis());
+        harness.awaitCall(callCount + 1).listener().onResponse(503, new byte[0], true);
+        assertEquals(3_000, harness.awaitCall(callCount + 2).atMillis());
         assertEquals(List.of(), harness.failedMillis);
-        harness.calls.get(calls + 1).listener().onResponse(503, new byte[0], true);
+        harness.calls.get(callCount + 1).listener().onResponse(503, new byte[0], true);
         assertEquals(List.of(3_000L), harness.failedMillis);
     }
 
@@ -132,9 +145,10 @@
     void drawsDifferentWaitsForDifferentSeeds() {
         Set<Long> waits = new HashSet<>();
         for (long seed = 1; seed <= 50; seed++) {
-            long wait = new WatchHarness(false, 10_000_000, seed).awaitCall(1).waitMillis();
-            assertTrue(wait >= 7_500 && wait <= 10_000, "waits " + wait + " ms");
-            waits.add(wait);
+            long waitMillis =
+                    new WatchHarness(false, 10_000_000, seed).awaitCall(1).waitMillis();
+            assertTrue(waitMillis >= 7_500 && waitMillis <= 10_000, "waits " + waitMillis + " ms");
+            waits.add(waitMillis);
         }
         assertTrue(waits.size() > 40, waits.size() + " different waits of 50");
     }
--- a/src/test/java/loadbalancer/membership/discovery/WatchHarness.java
+++ b/src/test/java/loadbalancer/membership/discovery/WatchHarness.java
@@ -10,7 +10,7 @@
 import loadbalancer.core.Timers;
 import loadbalancer.membership.EndpointList;
 
-/** Discovery, the event loop and the balancer around a watch, on virtual time. */
+/** Simulates discovery, the event loop and the balancer around a watch, on virtual time. */
 final class WatchHarness implements DiscoveryClient, DiscoveryWatch.Listener, Timers {
     private static final class ScheduledTask implements Timers.Timer {
         final long atMicros;
@@ -32,9 +32,9 @@
     final List<Long> failedMillis = new ArrayList<>();
     final DiscoveryWatch watch;
     long currentMicros;
-    int disconnects;
+    int disconnectCount;
 
-    WatchHarness(boolean selfDriven, long pollIntervalMicros, long seed) {
+    WatchHarness(boolean selfPolling, long pollIntervalMicros, long seed) {
         Clock clock = new Clock() {
             @Override
             public long nowMicros() {
@@ -42,8 +42,8 @@
             }
         };
         watch = new DiscoveryWatch(
-                this, clock, this, this, new DiscoveryWatch.Options(41, pollIntervalMicros, selfDriven, false, seed));
-        if (selfDriven) {
+                this, clock, this, this, new DiscoveryWatch.Options(41, pollIntervalMicros, selfPolling, false, seed));
+        if (selfPolling) {
             watch.start();
         } else {
             watch.poll();
@@ -66,10 +66,10 @@
         currentMicros = millis * 1000;
     }
 
-    /** Runs until the call with this number, from 1, and returns it. */
+    /** Runs until the watch has started the call with this number, counted from 1, and returns the call. */
     DiscoveryCall awaitCall(int number) {
         for (long millis = currentMicros / 1000; calls.size() < number; millis++) {
-            assertTrue(millis < 100_000, "call " + number + " never came");
+            assertTrue(millis < 100_000, "call " + number + " has not started after 100 s");
             runUntilMillis(millis);
         }
         return calls.get(number - 1);
@@ -82,7 +82,7 @@
 
     @Override
     public void disconnect() {
-        disconnects++;
+        disconnectCount++;
     }
 
     @Override
--- a/src/test/java/loadbalancer/membership/disk/EndpointListFixture.java
+++ b/src/test/java/loadbalancer/membership/disk/EndpointListFixture.java
@@ -9,7 +9,7 @@
 
 /** A list of two endpoints for the tests of this package. */
 final class EndpointListFixture {
-    /** More bytes than its files have. */
+    /** Larger than the file of any list of this fixture. */
     static final int MAX_FILE_BYTES = 1 << 20;
 
     private EndpointListFixture() {}
--- a/src/test/java/loadbalancer/membership/disk/EndpointListStoreTest.java
+++ b/src/test/java/loadbalancer/membership/disk/EndpointListStoreTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list survives restarts, whatever happens to the disk in between. */
+/** The endpoint list survives restarts, also if its newest file is truncated or damaged. */
 @Timeout(60)
 class EndpointListStoreTest {
     @TempDir
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void readsWhatAnEarlierStoreWrote() throws Exception {
+    void readsTheListThatAnEarlierStoreWrote() throws Exception {
         try (EndpointListStore first = newStore()) {
             assertEquals(Optional.empty(), first.read(logLines::add));
             for (int i = 1; i <= 5; i++) {
@@ -47,35 +47,35 @@
     }
 
     /**
-     * A process that is killed within a write leaves a part of the temporary file, which is not read; a lost disk cache may cut the
-     * renamed file all the same, and the one before it is intact.
+     * A process that is killed during a write leaves a truncated temporary file, which is never read. If the disk loses
+     * its cache, the renamed file may be truncated too; the file of the previous list is intact then.
      */
     @Test
-    void readsThePreviousListWhereAWriteWasCutAtAnyByte() throws Exception {
+    void readsThePreviousListIfTheNewestFileIsTruncatedAtAnyByte() throws Exception {
         try (EndpointListStore store = newStore()) {
             store.write(EndpointListFixture.list(1));
             store.write(EndpointListFixture.list(2));
         }
         Path newest = folder.resolve("list.0");
         byte[] intact = Files.readAllBytes(newest);
-        for (int cut = 0; cut < intact.length; cut++) {
-            Files.write(folder.resolve("list.new"), Arrays.copyOf(intact, cut));
+        for (int length = 0; length < intact.length; length++) {
+            Files.write(folder.resolve("list.new"), Arrays.copyOf(intact, length));
             assertEquals(
                     Optional.of(EndpointListFixture.list(2)),
                     newStore().read(logLines::add),
-                    "a temporary file of " + cut + " bytes");
+                    "a temporary file of " + length + " bytes");
         }
         assertEquals(List.of(), logLines);
-        for (int cut = 0; cut < intact.length; cut++) {
+        for (int length = 0; length < intact.length; length++) {
             logLines.clear();
-            Files.write(newest, Arrays.copyOf(intact, cut));
+            Files.write(newest, Arrays.copyOf(intact, length));
             assertEquals(
                     Optional.of(EndpointListFixture.list(1)),
                     newStore().read(logLines::add),
-                    "cut to " + cut + " bytes");
+                    "truncated to " + length + " bytes");
             assertEquals(1, logLines.size(), logLines.toString());
             try (EndpointListStore next = newStore()) {
-                // The next write replaces the cut file, not the intact one.
+                // The next write replaces the truncated file, not the intact one.
                 next.lockFolder();
             }
         }
@@ -90,33 +90,33 @@
     }
 
     @Test
-    void detectsAFlippedBitAnywhere() throws Exception {
+    void detectsAFlippedBitInAnyByteOutsideTheSequenceNumber() throws Exception {
         try (EndpointListStore store = newStore()) {
             store.write(EndpointListFixture.list(1));
             store.write(EndpointListFixture.list(2));
         }
         Path newest = folder.resolve("list.0");
         byte[] intact = Files.readAllBytes(newest);
-        for (int at = 0; at < intact.length; at++) {
+        for (int offset = 0; offset < intact.length; offset++) {
             byte[] damaged = intact.clone();
-            damaged[at] ^= 4;
+            damaged[offset] ^= 4;
             Files.write(newest, damaged);
             EndpointList read = newStore().read(line -> {}).orElseThrow();
             assertTrue(
                     EndpointListFixture.list(1).equals(read)
-                            || EndpointListFixture.list(2).equals(read) && isSequence(intact, at),
-                    "byte " + at + ": " + read);
+                            || EndpointListFixture.list(2).equals(read) && isInSequenceNumber(intact, offset),
+                    "byte " + offset + ": " + read);
         }
     }
 
-    /** No checksum covers the number by which the newer of two intact lists is known. */
-    private static boolean isSequence(byte[] file, int at) {
-        String head = new String(file, 0, 60, StandardCharsets.US_ASCII);
-        return at >= head.indexOf("number=") && at < head.indexOf(" length=");
+    /** The checksum does not cover the sequence number, which tells the newer of two intact files. */
+    private static boolean isInSequenceNumber(byte[] file, int offset) {
+        String header = new String(file, 0, 60, StandardCharsets.US_ASCII);
+        return offset >= header.indexOf("number=") && offset < header.indexOf(" length=");
     }
 
     @Test
-    void readsNoneAndLogsBothWhereBothFilesAreDamaged() throws Exception {
+    void readsNoListAndLogsTwiceIfBothFilesAreDamaged() throws Exception {
         try (EndpointListStore store = newStore()) {
             store.write(EndpointListFixture.list(1));
             store.write(EndpointListFixture.list(2));
@@ -147,9 +147,9 @@
         assertTrue(logLines.get(0).contains("its version is 2"), logLines.toString());
     }
 
-    /** Two sidecars are given one folder by mistake: the second one reads and does not write. */
+    /** If two sidecars are configured with the same folder by mistake, the second one reads and does not write. */
     @Test
-    void leavesTheFolderToTheFirstOfTwoStores() throws Exception {
+    void onlyTheFirstOfTwoStoresWritesAFolder() throws Exception {
         try (EndpointListStore first = newStore();
                 EndpointListStore second = newStore()) {
             first.write(EndpointListFixture.list(1));
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void createsAFolderAgainThatVanished() throws Exception {
+    void createsTheFolderAgainIfItWasDeleted() throws Exception {
         Path inner = folder.resolve("deep/er");
         try (EndpointListStore store = new EndpointListStore(inner, "fleet", EndpointListFixture.MAX_FILE_BYTES)) {
             store.write(EndpointListFixture.list(1));
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void rejectsAListThatIsTooLong() {
+    void rejectsAListThatIsTooLongForAFile() {
         EndpointListStore store = new EndpointListStore(folder, "fleet", 300);
         assertTrue(assertThrows(IOException.class, () -> store.write(EndpointListFixture.list(1)))
                 .getMessage()
--- a/src/test/java/loadbalancer/membership/disk/EndpointListWriterTest.java
+++ b/src/test/java/loadbalancer/membership/disk/EndpointListWriterTest.java
@@ -27,9 +27,9 @@
         return new EndpointListStore(folder, "fleet", EndpointListFixture.MAX_FILE_BYTES);
     }
 
-    /** The disk may be full, read-only or gone; no exception reaches the submitter. */
+    /** Writes fail if the disk is full, read-only or missing; the submitter gets no exception. */
     @Test
-    void logsTheFirstOfFailingWritesAndTheNextSuccess() throws Exception {
+    void logsOnlyTheFirstFailedWriteAndTheNextSuccess() throws Exception {
         Path blocked = folder.resolve("blocked");
         Files.writeString(blocked, "a file where the folder should be");
         BlockingQueue<String> log = new LinkedBlockingQueue<>();
@@ -42,11 +42,12 @@
             for (int i = 0; i < 3; i++) {
                 writer.submit(EndpointListFixture.list(i));
             }
-            assertTrue(log.poll(20, TimeUnit.SECONDS).startsWith("the list can't be kept on disk, service goes on: "));
+            assertTrue(log.poll(20, TimeUnit.SECONDS)
+                    .startsWith("the endpoint list can't be written to disk, requests are still served: "));
             Files.delete(blocked);
             clock.addAndGet(60_000_000);
             writer.submit(EndpointListFixture.list(5));
-            assertEquals("the list is kept on disk again", log.poll(20, TimeUnit.SECONDS));
+            assertEquals("the endpoint list can be written to disk again", log.poll(20, TimeUnit.SECONDS));
         }
         assertEquals(
                 Optional.of(EndpointListFixture.list(5)),
@@ -54,9 +55,9 @@
         assertEquals(0, log.size(), log.toString());
     }
 
-    /** However many lists are submitted, the newest is written at the end, and no more than the rate allows in between. */
+    /** Closing the writer writes the newest list; before that, no more lists are written than the rate allows. */
     @Test
-    void coalescesListsAndWritesTheLastAtTheEnd() throws Exception {
+    void limitsTheRateOfWritesAndWritesTheNewestListOnClose() throws Exception {
         EndpointListStore store = newStore();
         try (EndpointListWriter writer = new EndpointListWriter(store, 1, () -> 1_000_000, logLines::add)) {
             for (int i = 1; i <= 1000; i++) {
@@ -64,16 +65,17 @@
             }
         }
         assertEquals(Optional.of(EndpointListFixture.list(1000)), newStore().read(logLines::add));
-        StringBuilder head = new StringBuilder();
+        StringBuilder headers = new StringBuilder();
         for (String name : new String[] {"list.0", "list.1"}) {
-            // Where the thread was slow all lists became one write, to one of the two files.
+            // If the writer's thread is slow, all lists are coalesced into one write, and only one of the two files
+            // exists.
             if (Files.exists(folder.resolve(name))) {
-                head.append(Files.readString(folder.resolve(name))
+                headers.append(Files.readString(folder.resolve(name))
                         .lines()
                         .findFirst()
                         .orElse(""));
             }
         }
-        assertTrue(head.toString().matches(".*number=[1-4] .*"), "more writes than the rate allows: " + head);
+        assertTrue(headers.toString().matches(".*number=[1-4] .*"), "more writes than the rate allows: " + headers);
     }
 }
