--- a/src/main/java/loadbalancer/zones/FlapDamping.java
+++ b/src/main/java/loadbalancer/zones/FlapDamping.java
@@ -1,17 +1,18 @@
 package loadbalancer.zones;
 
 /**
- * Keeps a flapping zone out of service for longer each time, as route flap damping does (RFC 2439): each loss adds a penalty
- * that decays by half per half-life; above one threshold the zone is suppressed until the penalty is below another.
+ * Keeps a flapping zone out of service for longer each time, like route flap damping (RFC 2439): each loss adds a
+ * penalty, which decays exponentially. A zone whose penalty exceeds one threshold is suppressed until the penalty falls
+ * below a lower one.
  */
 final class FlapDamping {
-    /** Penalty added by one loss; the thresholds are on the same scale. */
+    /** Penalty for one loss, in the unit of the thresholds. */
     private static final double LOSS_PENALTY = 1000;
 
     private static final double SUPPRESS_THRESHOLD = 2000;
     private static final double REUSE_THRESHOLD = 750;
 
-    /** Bounds suppression after the last loss to four half-lives. */
+    /** Limits suppression to four half-lives after the last loss. */
     private static final double MAX_PENALTY = REUSE_THRESHOLD * 16;
 
     private final long halfLifeMicros;
--- a/src/main/java/loadbalancer/zones/IdempotencyLedger.java
+++ b/src/main/java/loadbalancer/zones/IdempotencyLedger.java
@@ -10,29 +10,33 @@
 import loadbalancer.balancing.Balancer.Upstream;
 
 /**
- * Attempts of requests with an idempotency key, across the client's own retries under new request ids. While an attempt is in
- * flight or may have run, another attempt is allowed only inside the scope of upstreams that deduplicates it, and only within
- * the deduplication window. An attempt that provably never ran is removed. When the ledger is full, no new key is allowed: its
- * request can be rejected safely, whereas a key evicted too early could run twice.
+ * Records the attempts of requests with an idempotency key, including the client's own retries under new request ids.
+ * While an attempt is in flight or may have run, another attempt is allowed only to upstreams in the scope that
+ * deduplicates it, and only within the idempotency window. An attempt that provably never ran is removed. When the
+ * ledger is full, no new key is allowed: rejecting its request is safe, whereas a request whose key was evicted too
+ * early could run twice.
  */
 final class IdempotencyLedger {
-    /** A repeat must arrive before the scope forgets the key, so the window is closed this much earlier. */
+    /**
+     * Safety margin at the end of the idempotency window, because a repeat must arrive before the upstreams forget the
+     * key.
+     */
     private static final long WINDOW_MARGIN_MICROS = 250_000;
 
-    /** Bounds the memory of one key whose client retries without end. */
+    /** Limits the memory that a key takes if its client never stops retrying. */
     private static final int MAX_ATTEMPTS_PER_KEY = 16;
 
     private final int maxKeys;
     private final long retentionMicros;
 
-    /** In order of the last attempt, so that the eldest entry is the first to expire. */
+    /** In order of the last attempt, so that the eldest entry expires first. */
     private final Map<String, KeyAttempts> attemptsByKey = new LinkedHashMap<>();
 
     private long fullCount;
 
     /**
-     * @param maxKeys         keys remembered at most
-     * @param retentionMicros how long a key is remembered after its last attempt
+     * @param maxKeys         maximum number of keys
+     * @param retentionMicros how long a key is kept after its last attempt
      */
     IdempotencyLedger(int maxKeys, long retentionMicros) {
         this.maxKeys = maxKeys;
@@ -58,7 +62,7 @@
         }
     }
 
-    /** Whether an attempt with this key may be sent to the upstream now. */
+    /** Whether an attempt with this key may be sent to {@code upstream} now. */
     boolean allows(long nowMicros, RequestClass requestClass, String idempotencyKey, Upstream upstream) {
         KeyAttempts keyAttempts = attemptsByKey.get(entryKey(requestClass, idempotencyKey));
         if (keyAttempts == null) {
@@ -68,20 +72,20 @@
             return false;
         }
         for (LedgerAttempt attempt : keyAttempts.attempts) {
-            if (!permitsAttemptAt(upstream, attempt, nowMicros, requestClass)) {
+            if (!isDeduplicatedBy(upstream, attempt, nowMicros, requestClass)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether an attempt with this key may have run. */
+    /** Whether an attempt with this key is in flight or may have run. */
     boolean mayHaveRun(RequestClass requestClass, String idempotencyKey) {
         KeyAttempts keyAttempts = attemptsByKey.get(entryKey(requestClass, idempotencyKey));
         return keyAttempts != null && !keyAttempts.attempts.isEmpty();
     }
 
-    /** Whether no upstream can be allowed any more, whatever the attempts in flight turn out to be. */
+    /** Whether no upstream will be allowed again for this key, regardless of how the attempts in flight end. */
     boolean isUnservable(long nowMicros, RequestClass requestClass, String idempotencyKey) {
         KeyAttempts keyAttempts = attemptsByKey.get(entryKey(requestClass, idempotencyKey));
         if (keyAttempts == null) {
@@ -89,14 +93,14 @@
         }
         for (LedgerAttempt attempt : keyAttempts.attempts) {
             Upstream first = keyAttempts.attempts.get(0).upstream;
-            if (attempt.ended && !permitsAttemptAt(first, attempt, nowMicros, requestClass)) {
+            if (attempt.ended && !isDeduplicatedBy(first, attempt, nowMicros, requestClass)) {
                 return true;
             }
         }
         return keyAttempts.attempts.size() >= MAX_ATTEMPTS_PER_KEY;
     }
 
-    /** Records that an attempt is sent; the result identifies it in later calls. */
+    /** Records an attempt that is being sent, and returns the record to pass to later calls. */
     LedgerAttempt attemptSent(long nowMicros, RequestClass requestClass, String idempotencyKey, Upstream upstream) {
         evictExpired(nowMicros);
         String entryKey = entryKey(requestClass, idempotencyKey);
@@ -109,12 +113,12 @@
         return attempt;
     }
 
-    /** The attempt ended and may have run; this is final. */
+    /** Records that an attempt has ended and may have run. */
     void attemptEnded(LedgerAttempt attempt) {
         attempt.ended = true;
     }
 
-    /** The attempt provably never ran. */
+    /** Removes an attempt that provably never ran. */
     void attemptNeverRan(RequestClass requestClass, String idempotencyKey, LedgerAttempt attempt) {
         attempt.keyAttempts.attempts.remove(attempt);
         if (attempt.keyAttempts.attempts.isEmpty()) {
@@ -122,12 +126,12 @@
         }
     }
 
-    /** Keys remembered now. */
+    /** Number of keys in the ledger. */
     int size() {
         return attemptsByKey.size();
     }
 
-    /** How often a new key was not allowed because the ledger was full. */
+    /** Number of times that a new key was not allowed because the ledger was full. */
     long fullCount() {
         return fullCount;
     }
@@ -136,8 +140,8 @@
         return requestClass.name() + ' ' + idempotencyKey;
     }
 
-    /** Whether an earlier attempt would be deduplicated by the upstream now. */
-    private static boolean permitsAttemptAt(
+    /** Whether {@code upstream} would deduplicate a repeat of the earlier attempt now. */
+    private static boolean isDeduplicatedBy(
             Upstream upstream, LedgerAttempt earlier, long nowMicros, RequestClass requestClass) {
         return nowMicros - earlier.sentMicros < requestClass.idempotencyWindowMicros() - WINDOW_MARGIN_MICROS
                 && isSameScope(requestClass.idempotencyScope(), earlier.upstream, upstream);
--- a/src/main/java/loadbalancer/zones/TrackedZone.java
+++ b/src/main/java/loadbalancer/zones/TrackedZone.java
@@ -3,7 +3,7 @@
 import loadbalancer.balancing.Balancer.Rules;
 import loadbalancer.zones.ZoneHealth.State;
 
-/** What one sidecar knows of one zone, and which requests it may send there. */
+/** The state of one zone as this sidecar sees it, and which requests may be sent there. */
 final class TrackedZone {
     private final String name;
     private final ZoneHealth health = new ZoneHealth();
@@ -28,20 +28,20 @@
 
     /** Which requests a zone gets. */
     enum RoutingMode {
-        /** All, as far as its rate is not limited. */
+        /** All requests within the zone's rate limit. */
         IN_SERVICE,
-        /** Idempotent requests, to prove that it has recovered. */
+        /** Only idempotent requests, to find out whether the zone has recovered. */
         PROBATION,
-        /** An idempotent request now and then, as a trial. */
+        /** A single idempotent request from time to time, as a trial. */
         EXCLUDED,
-        /** None, by the operator's decision. */
+        /** No requests, because the operator has drained the zone. */
         DRAINED
     }
 
     /**
-     * Brings state and mode up to date.
+     * Updates state and mode.
      *
-     * @return whether either has changed, or the reason of the mode
+     * @return whether the state, the mode or the reason for the mode has changed
      */
     boolean updateMode(long nowMicros, boolean drained) {
         State previousState = state;
@@ -56,13 +56,13 @@
         if (previousMode == RoutingMode.IN_SERVICE && mode != RoutingMode.IN_SERVICE) {
             rateLimiter.zoneLost(nowMicros);
         }
-        if (!isTried(previousMode) && isTried(mode)) {
+        if (!isServing(previousMode) && isServing(mode)) {
             rateLimiter.zoneRecovered(nowMicros);
         }
         return previousState != state || previousMode != mode || wasSuppressed != suppressed;
     }
 
-    /** State and mode as text for the log. */
+    /** Describes state and mode for the log. */
     String description() {
         String reason =
                 switch (mode) {
@@ -76,7 +76,7 @@
         return "zone " + name + " is " + state.logText() + ", " + reason;
     }
 
-    /** A trial is sent to the excluded zone: no other one before {@code nextMicros}. */
+    /** Records a trial that is being sent to the excluded zone. The next one is due at {@code nextMicros}. */
     void trialSent(long nextMicros) {
         nextTrialMicros = nextMicros;
         weight = 0;
@@ -102,7 +102,7 @@
         return mode;
     }
 
-    /** Factor on the selection weight of the zone's upstreams, from 0; 1 is no preference. */
+    /** Factor on the selection weights of the zone's upstreams; 0 or more, and 1 for no preference. */
     double weight() {
         return weight;
     }
@@ -118,7 +118,8 @@
         return state == State.PROBATION ? RoutingMode.PROBATION : RoutingMode.IN_SERVICE;
     }
 
-    private static boolean isTried(RoutingMode mode) {
+    /** Whether a zone in this mode gets requests other than trials. */
+    private static boolean isServing(RoutingMode mode) {
         return mode == RoutingMode.IN_SERVICE || mode == RoutingMode.PROBATION;
     }
 }
--- a/src/main/java/loadbalancer/zones/ZoneAwareBalancer.java
+++ b/src/main/java/loadbalancer/zones/ZoneAwareBalancer.java
@@ -10,8 +10,9 @@
 import loadbalancer.balancing.RoutingConstraints;
 
 /**
- * A balancer with routing between zones: forwards every call and every action unchanged and observes them. All decisions stay
- * with the delegate, which consults the {@link RoutingConstraints} that this class builds it with.
+ * A balancer with routing between zones. Forwards all calls to a delegate and all of its actions to the caller,
+ * unchanged, and observes them to track the health of zones. The delegate makes all decisions, within the
+ * {@link RoutingConstraints} that this class passes to it.
  */
 public final class ZoneAwareBalancer implements Balancer {
     private final Balancer delegate;
@@ -21,9 +22,9 @@
     private long nowMicros;
 
     /**
-     * @param seed            of the jitter between trial requests
-     * @param actions         where the delegate's actions go
-     * @param delegateFactory builds the delegate from its constraints and its actions
+     * @param seed            random seed for the jitter between trial requests
+     * @param actions         receives the delegate's actions
+     * @param delegateFactory creates the delegate with its constraints and its actions
      */
     public ZoneAwareBalancer(
             ZoneOptions options,
@@ -40,7 +41,7 @@
     private static final class OpenRequest {
         private final Request request;
 
-        /** By attempt number; null once ended. */
+        /** By attempt number; null for an attempt that has ended. */
         private final List<RoutedAttempt> attempts = new ArrayList<>(1);
 
         private boolean finished;
@@ -50,7 +51,7 @@
             this.request = request;
         }
 
-        /** Takes out an attempt that has ended; null where there is none of that number. */
+        /** Removes and returns an attempt that has ended; null if no attempt of this number is in flight. */
         private RoutedAttempt removeAttempt(int attemptNumber) {
             if (attemptNumber < 0 || attemptNumber >= attempts.size() || attempts.get(attemptNumber) == null) {
                 return null;
@@ -60,10 +61,10 @@
         }
     }
 
-    /** {@code ledgerAttempt} is null for a request without an idempotency key. */
+    /** @param ledgerAttempt null for a request without an idempotency key */
     private record RoutedAttempt(Upstream upstream, IdempotencyLedger.LedgerAttempt ledgerAttempt) {}
 
-    /** Takes over the operator's reloaded tiers and drained zones. */
+    /** Applies the tiers and drained zones of reloaded options. */
     public void reload(long atMicros, ZoneOptions options) {
         nowMicros = atMicros;
         routing.reload(atMicros, options);
@@ -165,7 +166,7 @@
         delegate.onTimer(atMicros, timerName);
     }
 
-    /** Requests that have not finished or have attempts in flight. */
+    /** Number of requests that have not finished or have attempts in flight. */
     public int openRequestCount() {
         return openRequests.size();
     }
@@ -184,7 +185,7 @@
         }
     }
 
-    /** Forwards the delegate's actions and observes attempts, health checks and final answers. */
+    /** Forwards the delegate's actions, and observes attempts, health checks and the ends of requests. */
     private final class ObservedActions implements Actions {
         private final Actions delegateActions;
 
--- a/src/main/java/loadbalancer/zones/ZoneHealth.java
+++ b/src/main/java/loadbalancer/zones/ZoneHealth.java
@@ -5,42 +5,43 @@
 import java.util.Set;
 
 /**
- * Health of one zone, from responses and timeouts of its upstreams. An upstream is silent after {@link #TIMEOUTS_UNTIL_SILENT}
- * consecutive timeouts over at least {@link #MIN_SILENCE_MICROS}. A zone is unresponsive when every upstream with recent
- * evidence is silent, and these are at least half of its upstreams, and two where it has two. A partial failure is therefore
- * no zone failure; the balancer's outlier ejection handles it.
+ * Health of one zone, derived from the responses and timeouts of its upstreams. An upstream is silent after
+ * {@link #TIMEOUTS_UNTIL_SILENT} consecutive timeouts, from {@link #MIN_SILENCE_MICROS} after the first of them. A zone
+ * is unresponsive when every upstream with recent evidence is silent, and these are at least half of the zone's
+ * upstreams and at least two, unless the zone has only one. A partial failure is not a zone failure; the balancer's
+ * outlier ejection handles it.
  */
 final class ZoneHealth {
     /** Consecutive timeouts after which an upstream may count as silent. */
     private static final int TIMEOUTS_UNTIL_SILENT = 2;
 
-    /** Timeouts closer together than this count as one. */
+    /** Timeouts of an upstream that are closer together than this count as one. */
     private static final long SAME_EVENT_MICROS = 40_000;
 
     private static final long MIN_SILENCE_MICROS = 330_000;
     private static final long EVIDENCE_EXPIRY_MICROS = 5_000_000;
     private static final long PARTITIONED_AFTER_MICROS = 3_000_000;
 
-    /** Responses that end probation, if half of the upstreams gave one. */
+    /** Responses after which probation ends, if at least half of the upstreams have responded. */
     private static final int RESPONSES_TO_RECOVER = 3;
 
     private final Map<String, UpstreamEvidence> upstreams = new HashMap<>();
     private State state = State.EMPTY;
     private long stateSinceMicros;
     private int probationResponses;
-    private int maxReady;
+    private int maxReadyCount;
     private boolean everReady;
 
-    /** State of a zone as seen from this sidecar. */
+    /** State of a zone as this sidecar sees it. */
     enum State {
         HEALTHY("healthy"),
-        /** No upstream responds; discovery may still remove the zone. */
+        /** No upstream responds; discovery may be about to remove the zone. */
         UNRESPONSIVE("unresponsive"),
-        /** No upstream responds although discovery still lists the zone: others may reach it. */
+        /** No upstream has responded for some time, but discovery still lists the zone, so others may reach it. */
         PARTITIONED("partitioned"),
-        /** An upstream responds again: idempotent requests may be tried. */
+        /** An upstream responds again, so idempotent requests may be sent. */
         PROBATION("on probation"),
-        /** The endpoint list has no ready upstream of it. */
+        /** The endpoint list contains no ready upstream of the zone. */
         EMPTY("empty");
 
         private final String logText;
@@ -53,7 +54,7 @@
             return logText;
         }
 
-        /** Whether the zone has ready upstreams of which none responds. */
+        /** Whether the zone has ready upstreams but none of them responds. */
         boolean isUnreachable() {
             return this == UNRESPONSIVE || this == PARTITIONED;
         }
@@ -70,26 +71,26 @@
             return consecutiveTimeouts >= TIMEOUTS_UNTIL_SILENT && nowMicros - firstTimeoutMicros >= MIN_SILENCE_MICROS;
         }
 
-        private boolean respondedLately(long nowMicros) {
+        private boolean hasRespondedRecently(long nowMicros) {
             return nowMicros - lastResponseMicros < EVIDENCE_EXPIRY_MICROS && consecutiveTimeouts == 0;
         }
     }
 
-    /** The endpoint list changed: ids of the zone's ready upstreams. */
+    /** Handles a new endpoint list, with the ids of the zone's ready upstreams. */
     void onReadyUpstreams(long nowMicros, Set<String> ready) {
         upstreams.keySet().retainAll(ready);
         ready.forEach(upstreamId -> upstreams.computeIfAbsent(upstreamId, id -> new UpstreamEvidence()));
-        maxReady = Math.max(ready.size(), maxReady);
+        maxReadyCount = Math.max(ready.size(), maxReadyCount);
         if (ready.isEmpty()) {
             transitionTo(nowMicros, State.EMPTY);
         } else if (state == State.EMPTY) {
-            // The first list is no recovery, so it needs no probation.
+            // The first list is not a recovery, so it needs no probation.
             transitionTo(nowMicros, everReady ? State.PROBATION : State.HEALTHY);
             everReady = true;
         }
     }
 
-    /** An upstream responded, whatever the status. */
+    /** Handles a response of an upstream, with any status. */
     void responded(long nowMicros, String upstreamId) {
         UpstreamEvidence evidence = upstreams.get(upstreamId);
         if (evidence == null) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /** A request or health check to an upstream got no response, or no connection. */
+    /** Handles a request or health check that got no response or no connection. */
     void timedOut(long nowMicros, String upstreamId) {
         UpstreamEvidence evidence = upstreams.get(upstreamId);
         if (evidence == null) {
@@ -133,7 +134,10 @@
         detectUnresponsive(nowMicros);
     }
 
-    /** Current state. Silence lasts with time alone, because an ejected upstream is sent nothing that could time out. */
+    /**
+     * The current state. It is updated for the time alone, without further timeouts, because an ejected upstream is
+     * sent nothing that could time out.
+     */
     State state(long nowMicros) {
         detectUnresponsive(nowMicros);
         if (state == State.UNRESPONSIVE && nowMicros - stateSinceMicros >= PARTITIONED_AFTER_MICROS) {
@@ -142,16 +146,18 @@
         return state;
     }
 
-    /** Upstreams that are ready and not silent, over {@link #maxReady}; 0 unless the zone is healthy. */
+    /**
+     * Upstreams that are ready and not silent, as a fraction of {@link #maxReadyCount}; 0 unless the zone is healthy.
+     */
     double availableFraction(long nowMicros) {
-        if (state != State.HEALTHY || maxReady == 0) {
+        if (state != State.HEALTHY || maxReadyCount == 0) {
             return 0;
         }
         int availableCount = 0;
         for (UpstreamEvidence evidence : upstreams.values()) {
             availableCount += evidence.isSilent(nowMicros) ? 0 : 1;
         }
-        return (double) availableCount / maxReady;
+        return (double) availableCount / maxReadyCount;
     }
 
     int readyCount() {
@@ -159,8 +165,8 @@
     }
 
     /** Largest number of upstreams that were ready at one time. */
-    int maxReady() {
-        return maxReady;
+    int maxReadyCount() {
+        return maxReadyCount;
     }
 
     private void detectUnresponsive(long nowMicros) {
@@ -168,13 +174,13 @@
             return;
         }
         int silentCount = 0;
-        int knownCount = 0;
+        int evidenceCount = 0;
         for (UpstreamEvidence evidence : upstreams.values()) {
             boolean silent = evidence.isSilent(nowMicros);
             silentCount += silent ? 1 : 0;
-            knownCount += silent || evidence.respondedLately(nowMicros) ? 1 : 0;
+            evidenceCount += silent || evidence.hasRespondedRecently(nowMicros) ? 1 : 0;
         }
-        if (silentCount == knownCount
+        if (silentCount == evidenceCount
                 && silentCount >= Math.min(upstreams.size(), 2)
                 && 2 * silentCount >= upstreams.size()) {
             transitionTo(nowMicros, State.UNRESPONSIVE);
--- a/src/main/java/loadbalancer/zones/ZonePreference.java
+++ b/src/main/java/loadbalancer/zones/ZonePreference.java
@@ -1,18 +1,19 @@
 package loadbalancer.zones;
 
 /**
- * Splits the load over priority tiers as Envoy's priority levels do: a tier keeps all of the load while its available
+ * Splits the load over priority tiers like Envoy's priority levels: a tier keeps all of the load while its available
  * fraction times the overprovisioning factor is at least 1; below that the remainder spills over to the next tier.
  */
 final class ZonePreference {
     private ZonePreference() {}
 
     /**
-     * Load fraction of each tier, from 0 to 1, with sum 1. When less than {@code panicThreshold} of all upstreams is available
-     * the load is split by tier size instead, since a failure that looks this wide says little of any single tier.
+     * Returns the load fraction of each tier; the fractions add up to 1. If less than {@code panicThreshold} of all
+     * upstreams is available, the load is split by tier size instead, because such a wide failure is no evidence
+     * against any single tier.
      *
-     * @param availableFractions available part of each tier, from 0 to 1
-     * @param tierSizes          upstreams of each tier
+     * @param availableFractions available fraction of each tier, from 0 to 1
+     * @param tierSizes          number of upstreams in each tier
      */
     static double[] loadFractions(
             double[] availableFractions, int[] tierSizes, double overprovisioningFactor, double panicThreshold) {
@@ -28,7 +29,7 @@
         if (availableTotal <= 0 || availableTotal < panicThreshold * totalSize) {
             return sizeFractions(tierSizes, totalSize);
         }
-        // All tiers together may have less than the whole load's capacity: each then gets its part of what there is.
+        // If all tiers together have too little capacity for the load, each gets a share in proportion to its capacity.
         double scale = Math.max(1, 1 / capacity);
         double remaining = 1;
         double[] fractions = new double[tierCount];
--- a/src/main/java/loadbalancer/zones/ZoneRateLimiter.java
+++ b/src/main/java/loadbalancer/zones/ZoneRateLimiter.java
@@ -1,32 +1,34 @@
 package loadbalancer.zones;
 
 /**
- * Rate of requests from one sidecar to one zone: always measured, limited only while some zone is lost or ramping up. A
- * limited rate at most doubles per doubling time from what the zone had, and shrinks while the zone reports overload, so no
- * count of upstreams or stated capacity is needed.
+ * Measures the rate of requests from one sidecar to one zone, and limits it while a zone is lost or ramping up. The
+ * limit starts near the measured rate, at most doubles per doubling time, and is reduced while the zone reports
+ * overload, so that neither the number of upstreams nor their capacity has to be known.
  */
 final class ZoneRateLimiter {
     private static final double RATE_AVERAGING_MICROS = 500_000;
     private static final long DECREASE_INTERVAL_MICROS = 200_000;
     private static final double DECREASE_FACTOR = 0.9;
 
-    /** Token bucket size, in seconds of the limit, and in requests at least. */
+    /** Size of the token bucket, in seconds of sending at the limit; at least {@link #MIN_BURST} requests. */
     private static final double BURST_SECONDS = 0.15;
 
     private static final double MIN_BURST = 3;
 
-    /** First limit over the measured rate, right after another zone was lost. */
+    /** Ratio of the first limit to the measured rate, right after another zone was lost. */
     private static final double INITIAL_HEADROOM = 1.2;
 
-    /** Ratio of limit to measured rate from which the limit is taken to have no effect. */
-    private static final double FREE_HEADROOM = 1.5;
+    /** Ratio of limit to measured rate from which the limit is considered to have no effect. */
+    private static final double INEFFECTIVE_LIMIT_RATIO = 1.5;
 
-    /** Queued per executing request of an upstream above which its zone counts as overloaded. */
+    /** Ratio of queued to executing requests above which the zone counts as overloaded. */
     private static final double OVERLOAD_QUEUE_RATIO = 1.0;
 
     private static final double QUEUE_RATIO_GAIN = 0.1;
 
-    /** Limit of a returned zone, over what it had times the capacity of upstreams in slow start. */
+    /**
+     * Ratio of a returned zone's limit to its rate before the loss, scaled by the capacity of upstreams in slow start.
+     */
     private static final double SLOW_START_MULTIPLE = 2;
 
     private final double minPerSecond;
@@ -45,10 +47,10 @@
     private boolean limited;
 
     /**
-     * @param minPerSecond             limit at least, requests a second
+     * @param minPerSecond             minimum of the limit, in requests per second
      * @param doublingMicros           shortest time in which the limit doubles
-     * @param slowStartInitialFraction capacity of an upstream right after its start, of its full one
-     * @param slowStartMicros          time from its start to its full capacity
+     * @param slowStartInitialFraction fraction of its full capacity that an upstream has right after its start
+     * @param slowStartMicros          time from an upstream's start until it has its full capacity
      */
     ZoneRateLimiter(
             double minPerSecond,
@@ -64,7 +66,10 @@
         limitPerSecond = minPerSecond;
     }
 
-    /** Limits the rate from now on, starting a little above the measured one; no effect while already limited. */
+    /**
+     * Limits the rate from now on, at first to slightly more than the measured rate. No effect if it is limited
+     * already.
+     */
     void startLimiting(long nowMicros) {
         advance(nowMicros);
         if (!limited) {
@@ -78,7 +83,10 @@
         limited = false;
     }
 
-    /** The zone is lost: the measured rate is what its recovery ramp refers to. A loss during a ramp keeps the earlier one. */
+    /**
+     * Handles the loss of the zone: the measured rate becomes the reference of its recovery ramp. A loss during a ramp
+     * keeps the previous reference.
+     */
     void zoneLost(long nowMicros) {
         advance(nowMicros);
         if (recoveredMicros == 0 || nowMicros - recoveredMicros >= slowStartMicros) {
@@ -87,8 +95,9 @@
     }
 
     /**
-     * The zone is back: starts its recovery ramp as if all of its upstreams had just restarted, because discovery may report
-     * restarts late or never. Each sidecar ramps its own part, so the fleet's total is a small multiple of what the zone had.
+     * Starts the recovery ramp of a zone that has returned, as if all of its upstreams had just restarted, because
+     * discovery may report restarts late or never. Each sidecar ramps up its own rate, so the fleet's total stays a
+     * small multiple of the rate that the zone had.
      */
     void zoneRecovered(long nowMicros) {
         advance(nowMicros);
@@ -98,7 +107,7 @@
         tokens = Math.min(tokens, 1);
     }
 
-    /** Whether one more request may be sent now. Top-priority requests may overdraw the bucket by one burst. */
+    /** Whether another request may be sent now. Top-priority requests may overdraw the token bucket by one burst. */
     boolean allows(long nowMicros, boolean topPriority) {
         advance(nowMicros);
         return !limited || tokens >= (topPriority ? 1 - burst() : 1);
@@ -110,7 +119,7 @@
         tokens = Math.max(-burst(), tokens - 1);
     }
 
-    /** An upstream of the zone reported its load: requests in flight, and how many of these are queued. */
+    /** Handles a load report of an upstream in the zone: its requests in flight, and how many of these are queued. */
     void loadReported(double inFlight, double queuedRequests) {
         double executing = Math.max(1, inFlight - queuedRequests);
         queueRatio += QUEUE_RATIO_GAIN * (queuedRequests / executing - queueRatio);
@@ -120,7 +129,7 @@
         requestRejected = true;
     }
 
-    /** Fraction of its rate before the loss that the zone is offered on its recovery ramp, up to 1. */
+    /** Fraction of its rate before the loss that the zone may get during its recovery ramp, up to 1. */
     double recoveredFraction(long nowMicros) {
         advance(nowMicros);
         return slowStartCeiling(nowMicros) == Double.MAX_VALUE ? 1 : Math.min(1, limitPerSecond / perSecondBeforeLoss);
@@ -128,7 +137,7 @@
 
     /** Whether the limit is far enough above the measured rate to have no effect. */
     boolean hasHeadroom() {
-        return limitPerSecond >= Math.max(FREE_HEADROOM * sentPerSecond, minPerSecond)
+        return limitPerSecond >= Math.max(INEFFECTIVE_LIMIT_RATIO * sentPerSecond, minPerSecond)
                 && queueRatio <= OVERLOAD_QUEUE_RATIO;
     }
 
@@ -167,7 +176,7 @@
             decreasedMicros = nowMicros;
             requestRejected = false;
         } else if (!overloaded) {
-            // At most twice the measured rate: a rate that was never sent has not been shown to be bearable.
+            // The limit grows to at most twice the measured rate: the zone has not proved that it can take more.
             limitPerSecond = Math.min(
                     limitPerSecond * Math.pow(2, (double) elapsedMicros / doublingMicros),
                     Math.max(limitPerSecond, Math.max(2 * minPerSecond, 2 * sentPerSecond)));
--- a/src/main/java/loadbalancer/zones/ZoneRouting.java
+++ b/src/main/java/loadbalancer/zones/ZoneRouting.java
@@ -20,20 +20,24 @@
 import loadbalancer.zones.TrackedZone.RoutingMode;
 
 /**
- * Routing constraints from the health of zones, as one sidecar sees it. A lost zone gets single idempotent requests as trials;
- * the others take over its load at a bounded rate; a returning zone is ramped up as if all of its upstreams had just started.
- * Requests with an idempotency key follow the {@link IdempotencyLedger} in all states.
+ * Routing constraints derived from the health of zones, as this sidecar sees it. A lost zone gets single idempotent
+ * requests as trials, and the other zones take over its load at a limited rate. A returning zone is ramped up as if all
+ * of its upstreams had just started. Requests with an idempotency key follow the {@link IdempotencyLedger} in all
+ * states.
  */
 final class ZoneRouting implements RoutingConstraints {
     private static final long UPDATE_INTERVAL_MICROS = 50_000;
 
-    /** Rate limits are lifted when none has had an effect for this long. */
-    private static final long CALM_MICROS = 3_000_000;
+    /** Rate limits are lifted once no zone has been lost and no limit has had an effect for this long. */
+    private static final long LIMIT_LIFT_DELAY_MICROS = 3_000_000;
 
-    /** Weight of a zone under trial: low, so that it is tried and not preferred. */
+    /** Weight of a zone that is due for a trial or on probation; low, so that the zone gets few requests. */
     private static final double TRIAL_WEIGHT = 0.05;
 
-    /** Lowest weight in service, so that other tiers are still drawn when the preferred ones have no capacity. */
+    /**
+     * Lowest weight of a zone in service, so that other tiers are still selected when the preferred ones have no
+     * capacity.
+     */
     private static final double MIN_WEIGHT = 0.01;
 
     private final Settings settings;
@@ -46,9 +50,10 @@
     private final IdempotencyLedger ledger;
     private final long startedMicros;
     private ZoneOptions options;
-    private boolean panicking;
+    private boolean panicMode;
     private long updatedMicros;
-    private long calmSinceMicros;
+    /** Last time at which a zone was lost or a rate limit had an effect. */
+    private long limitNeededMicros;
 
     ZoneRouting(ZoneOptions options, Settings settings, long seed, long nowMicros, Consumer<String> log) {
         this.options = options;
@@ -66,13 +71,13 @@
         startedMicros = nowMicros;
     }
 
-    /** Takes over the operator's new tiers and drained zones; all other options hold until a restart. */
+    /** Applies the tiers and drained zones of reloaded options; all other options stay as they are until a restart. */
     void reload(long nowMicros, ZoneOptions reloaded) {
         options = options.reloadedFrom(reloaded);
         update(nowMicros);
     }
 
-    /** The complete endpoint list, as it is now. */
+    /** Handles a change of the endpoint list, with all of its current endpoints. */
     void onEndpoints(long nowMicros, Iterable<Upstream> endpoints) {
         Map<String, Set<String>> readyByZone = new HashMap<>();
         zoneByUpstream.clear();
@@ -93,9 +98,9 @@
     }
 
     /**
-     * An attempt is sent.
+     * Handles an attempt that is being sent.
      *
-     * @return what to pass to {@link #attemptEnded}; null for a request without an idempotency key
+     * @return the record to pass to {@link #attemptEnded}; null for a request without an idempotency key
      */
     IdempotencyLedger.LedgerAttempt attemptSent(long nowMicros, Request request, Upstream upstream) {
         TrackedZone zone = zonesByName.get(upstream.zone());
@@ -109,7 +114,7 @@
                 : ledger.attemptSent(nowMicros, requestClass, request.idempotencyKey(), upstream);
     }
 
-    /** An attempt has ended; {@code sent} is what {@link #attemptSent} returned for it. */
+    /** Handles the end of an attempt, for which {@link #attemptSent} returned {@code sent}. */
     void attemptEnded(
             long nowMicros,
             Request request,
@@ -134,13 +139,13 @@
                 zone.rateLimiter().requestRejected();
             }
             case TIMEOUT, CONNECT_FAILED, RESET -> zone.health().timedOut(nowMicros, upstream.id());
-                // Ended by this side, or never sent: no evidence about the upstream.
+                // Cancelled by this side or never sent, which is no evidence about the upstream.
             case CANCELLED, NOT_SENT -> {}
         }
         updateIfDue(nowMicros);
     }
 
-    /** A health check is sent; to an excluded zone it is a trial. */
+    /** Handles a health check that is being sent, which counts as a trial of an excluded zone. */
     void healthCheckSent(long nowMicros, String upstreamId) {
         TrackedZone zone = zoneByUpstream.get(upstreamId);
         if (zone != null) {
@@ -162,7 +167,7 @@
         updateIfDue(nowMicros);
     }
 
-    /** Brings modes, rate limits and weights up to date if they are older than {@link #UPDATE_INTERVAL_MICROS}. */
+    /** Updates modes, rate limits and weights if the last update is at least {@link #UPDATE_INTERVAL_MICROS} ago. */
     void updateIfDue(long nowMicros) {
         if (nowMicros - updatedMicros >= UPDATE_INTERVAL_MICROS) {
             update(nowMicros);
@@ -173,12 +178,12 @@
     public boolean allows(long nowMicros, Request request, Upstream upstream) {
         RequestClass requestClass = keyedClass(request);
         if (requestClass != null
-                && (isUnknownRetry(nowMicros, requestClass, request)
+                && (isRetryOfUnknownAttempt(nowMicros, requestClass, request)
                         || !ledger.allows(nowMicros, requestClass, request.idempotencyKey(), upstream))) {
             return false;
         }
         TrackedZone zone = zonesByName.get(upstream.zone());
-        if (zone == null || zone.mode() != RoutingMode.DRAINED && panicking) {
+        if (zone == null || zone.mode() != RoutingMode.DRAINED && panicMode) {
             return true;
         }
         return switch (zone.mode()) {
@@ -192,7 +197,7 @@
     @Override
     public double weight(Upstream upstream) {
         TrackedZone zone = zonesByName.get(upstream.zone());
-        return zone == null || panicking && zone.mode() != RoutingMode.DRAINED ? 1 : zone.weight();
+        return zone == null || panicMode && zone.mode() != RoutingMode.DRAINED ? 1 : zone.weight();
     }
 
     @Override
@@ -200,14 +205,14 @@
         RequestClass requestClass = keyedClass(request);
         return requestClass == null
                 || !ledger.mayHaveRun(requestClass, request.idempotencyKey())
-                        && !isUnknownRetry(updatedMicros, requestClass, request);
+                        && !isRetryOfUnknownAttempt(updatedMicros, requestClass, request);
     }
 
     @Override
     public boolean isUnservable(long nowMicros, Request request) {
         RequestClass requestClass = keyedClass(request);
         return requestClass != null
-                && (isUnknownRetry(nowMicros, requestClass, request)
+                && (isRetryOfUnknownAttempt(nowMicros, requestClass, request)
                         || ledger.isUnservable(nowMicros, requestClass, request.idempotencyKey()));
     }
 
@@ -228,7 +233,7 @@
         boolean anyLost = false;
         boolean allHaveHeadroom = true;
         for (TrackedZone zone : zonesByName.values()) {
-            if (zone.health().maxReady() > 0) {
+            if (zone.health().maxReadyCount() > 0) {
                 if (zone.updateMode(nowMicros, options.drainedZones().contains(zone.name()))) {
                     log.accept(zone.description());
                 }
@@ -237,12 +242,12 @@
             }
         }
         if (anyLost || !allHaveHeadroom) {
-            calmSinceMicros = nowMicros;
+            limitNeededMicros = nowMicros;
         }
         for (TrackedZone zone : zonesByName.values()) {
             if (anyLost && zone.mode() == RoutingMode.IN_SERVICE) {
                 zone.rateLimiter().startLimiting(nowMicros);
-            } else if (!anyLost && nowMicros - calmSinceMicros >= CALM_MICROS) {
+            } else if (!anyLost && nowMicros - limitNeededMicros >= LIMIT_LIFT_DELAY_MICROS) {
                 zone.rateLimiter().stopLimiting();
             }
         }
@@ -259,12 +264,12 @@
         for (TrackedZone zone : zonesByName.values()) {
             int tier = tierOf(zone.name());
             ZoneHealth health = zone.health();
-            tierSizes[tier] += health.maxReady();
-            totalSize += health.maxReady();
+            tierSizes[tier] += health.maxReadyCount();
+            totalSize += health.maxReadyCount();
             if (zone.mode() == RoutingMode.IN_SERVICE) {
                 availableFractions[tier] += health.availableFraction(nowMicros)
                         * zone.rateLimiter().recoveredFraction(nowMicros)
-                        * health.maxReady();
+                        * health.maxReadyCount();
                 readyCounts[tier] += health.readyCount();
                 usableCount += health.readyCount();
             }
@@ -274,14 +279,14 @@
             availableTotal += availableFractions[tier];
             availableFractions[tier] = tierSizes[tier] == 0 ? 0 : availableFractions[tier] / tierSizes[tier];
         }
-        updatePanic(totalSize > 0 && availableTotal < options.panicThreshold() * totalSize);
+        updatePanicMode(totalSize > 0 && availableTotal < options.panicThreshold() * totalSize);
         double[] loadFractions = ZonePreference.loadFractions(
                 availableFractions, tierSizes, options.overprovisioningFactor(), options.panicThreshold());
         for (TrackedZone zone : zonesByName.values()) {
             int tier = tierOf(zone.name());
             zone.setWeight(
                     switch (zone.mode()) {
-                            // The balancer's split already gives each upstream its natural share of the usable ones.
+                            // Relative to an equal share for each upstream, which the balancer's split already gives.
                         case IN_SERVICE -> readyCounts[tier] == 0 || usableCount == 0
                                 ? 1
                                 : Math.max(MIN_WEIGHT, loadFractions[tier] * usableCount / readyCounts[tier]);
@@ -292,14 +297,14 @@
         }
     }
 
-    private void updatePanic(boolean panic) {
-        if (panic != panicking) {
+    private void updatePanicMode(boolean panic) {
+        if (panic != panicMode) {
             log.accept(
                     panic
-                            ? "too few upstreams of all zones respond: no zone is excluded"
-                            : "enough upstreams respond again: zones can be excluded");
+                            ? "too few upstreams of all zones respond: no zone is excluded for now"
+                            : "enough upstreams respond again: zones that fail are excluded again");
         }
-        panicking = panic;
+        panicMode = panic;
     }
 
     private int tierOf(String zone) {
@@ -312,17 +317,18 @@
     }
 
     /**
-     * Whether this is a client's retry of which this process has sent no attempt: the process before it may have sent one, to
-     * any scope. There can be none once the process has run for as long as clients retry.
+     * Whether this is a client's retry of a request of which this process has sent no attempt. The previous process of
+     * this sidecar may have sent one, to any scope. This is impossible once the process has run for longer than clients
+     * retry.
      */
-    private boolean isUnknownRetry(long nowMicros, RequestClass requestClass, Request request) {
+    private boolean isRetryOfUnknownAttempt(long nowMicros, RequestClass requestClass, Request request) {
         return request.retriedByClient()
                 && nowMicros - startedMicros < options.idempotencyKeyRetentionMicros()
                 && requestClass.idempotencyScope() != IdempotencyScope.ALL
                 && !ledger.mayHaveRun(requestClass, request.idempotencyKey());
     }
 
-    /** The class of a request with an idempotency key; null for any other request. */
+    /** Returns the class of a request with an idempotency key; null for any other request. */
     private RequestClass keyedClass(Request request) {
         RequestClass requestClass = request.idempotencyKey() == null ? null : classOf(request);
         return requestClass != null && requestClass.idempotency() == Idempotency.WITH_KEY ? requestClass : null;
--- a/src/test/java/loadbalancer/zones/FlapDampingTest.java
+++ b/src/test/java/loadbalancer/zones/FlapDampingTest.java
@@ -21,7 +21,7 @@
         assertTrue(damping.isSuppressed(4 * SECOND));
         assertTrue(damping.isSuppressed(20 * SECOND));
         assertFalse(damping.isSuppressed(60 * SECOND));
-        // However often it flaps, four half-lives are enough.
+        // The penalty is bounded, so suppression ends after four half-lives regardless of the number of losses.
         for (int i = 0; i < 1_000; i++) {
             damping.zoneLost(60 * SECOND + i);
         }
--- a/src/test/java/loadbalancer/zones/IdempotencyLedgerTest.java
+++ b/src/test/java/loadbalancer/zones/IdempotencyLedgerTest.java
@@ -34,31 +34,30 @@
     }
 
     @Test
-    void keyThatMayHaveRunStaysInItsZone() {
+    void keyThatMayHaveRunIsAllowedOnlyInItsZone() {
         // given
         IdempotencyLedger ledger = ledgerOf(10);
         LedgerAttempt attempt = ledger.attemptSent(0, BY_ZONE, "k", A1);
-        // when in flight, and when ended without proof that it never ran
+        // then, first while the attempt is in flight, and then after it has ended and may have run
         for (int round = 0; round < 2; round++) {
-            // then
             assertTrue(ledger.allows(SECOND, BY_ZONE, "k", A2));
             assertFalse(ledger.allows(SECOND, BY_ZONE, "k", B1));
             assertTrue(ledger.mayHaveRun(BY_ZONE, "k"));
             assertFalse(ledger.isUnservable(SECOND, BY_ZONE, "k"));
             ledger.attemptEnded(attempt);
         }
-        // when the window is over, then no upstream deduplicates it any more
+        // No upstream deduplicates the key once the idempotency window is over.
         assertFalse(ledger.allows(4 * SECOND, BY_ZONE, "k", A1));
         assertFalse(ledger.allows(4 * SECOND, BY_ZONE, "k", B1));
         assertTrue(ledger.isUnservable(4 * SECOND, BY_ZONE, "k"));
-        // Another key, and the same key of another class, are independent.
+        // Other keys, and the same key of another request class, are not affected.
         assertTrue(ledger.allows(SECOND, BY_ZONE, "other", B1));
         assertFalse(ledger.mayHaveRun(
                 new RequestClass("x", Idempotency.WITH_KEY, IdempotencyScope.ZONE, SECOND, 1, 0, 1, 1, 0, false), "k"));
     }
 
     @Test
-    void attemptThatNeverRanLeavesNoTrace() {
+    void attemptThatNeverRanIsRemoved() {
         // given
         IdempotencyLedger ledger = ledgerOf(10);
         LedgerAttempt attempt = ledger.attemptSent(0, BY_ZONE, "k", A1);
@@ -69,7 +68,7 @@
         assertTrue(ledger.allows(SECOND, BY_ZONE, "k", B1));
         assertFalse(ledger.mayHaveRun(BY_ZONE, "k"));
         assertEquals(0, ledger.size());
-        // Of two attempts the other one still counts.
+        // Removing one of two attempts keeps the other one.
         LedgerAttempt first = ledger.attemptSent(0, BY_ZONE, "k", A1);
         ledger.attemptSent(0, BY_ZONE, "k", A2);
         ledger.attemptNeverRan(BY_ZONE, "k", first);
@@ -77,7 +76,7 @@
     }
 
     @Test
-    void scopeIsTheOneOfTheClass() {
+    void idempotencyScopeIsThatOfTheRequestClass() {
         // given
         IdempotencyLedger byCell = ledgerOf(10);
         byCell.attemptSent(0, BY_CELL, "k", A1);
@@ -107,7 +106,7 @@
         assertEquals(100, ledger.size());
         assertTrue(ledger.fullCount() >= 900);
         assertFalse(ledger.allows(SECOND, BY_ZONE, "k0", B1));
-        // A key with a new attempt is retained from then on; the others expire.
+        // A new attempt extends the retention of its key; the other keys expire.
         ledger.attemptSent(30 * SECOND, BY_ZONE, "k0", A1);
         assertTrue(ledger.allows(61 * SECOND, BY_ZONE, "new", A1));
         ledger.attemptSent(61 * SECOND, BY_ZONE, "new", A1);
--- a/src/test/java/loadbalancer/zones/RecordingActions.java
+++ b/src/test/java/loadbalancer/zones/RecordingActions.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import loadbalancer.balancing.Balancer;
 
-/** Records a balancer's sends, answers and timers as text, in order: {@code "send r1 a1"}, {@code "reject r1"}. */
+/**
+ * Records the attempts, rejections, failures and timers of a balancer as text, in order, for example
+ * {@code "send r1 a1"} or {@code "reject r1"}.
+ */
 final class RecordingActions implements Balancer.Actions {
     private final List<String> recorded = new ArrayList<>();
 
--- a/src/test/java/loadbalancer/zones/ZoneAwareBalancerTest.java
+++ b/src/test/java/loadbalancer/zones/ZoneAwareBalancerTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The real balancer with zone routing: what happens to a client's retry when its idempotency key may have run. */
+/** Zone routing with a real balancer as delegate, for client retries whose idempotency key may have run. */
 class ZoneAwareBalancerTest {
     private static final long SECOND = 1_000_000;
     private static final long START = 1_000_000 * SECOND;
@@ -40,7 +40,7 @@
     private ZoneAwareBalancer balancer;
 
     @BeforeEach
-    void startLongerAgoThanClientsRetry() {
+    void startBalancerAndPassKeyRetention() {
         restart();
         nowMicros += KEY_RETENTION + SECOND;
     }
@@ -57,7 +57,7 @@
                 actions,
                 (constraints, observed) ->
                         new HaloBalancer(settings, constraints, PeerLoad.NONE, 3, nowMicros, observed));
-        list("a1", "b1");
+        listUpstreams("a1", "b1");
     }
 
     private static Settings settings() {
@@ -79,8 +79,8 @@
                 1_000);
     }
 
-    /** Lists ready upstreams; the first letter of an id is its zone. */
-    private void list(String... ready) {
+    /** Passes an endpoint list of ready upstreams to the balancer. The first letter of an id is the upstream's zone. */
+    private void listUpstreams(String... ready) {
         List<Upstream> endpoints = new ArrayList<>();
         for (String upstreamId : ready) {
             endpoints.add(new Upstream(upstreamId, upstreamId.substring(0, 1), "x", 0, 0, 1, UpstreamState.READY));
@@ -89,14 +89,14 @@
     }
 
     private String request(String requestId, String idempotencyKey) {
-        return arrive(requestId, idempotencyKey, false);
+        return sendRequest(requestId, idempotencyKey, false);
     }
 
     private String clientRetry(String requestId, String idempotencyKey) {
-        return arrive(requestId, idempotencyKey, true);
+        return sendRequest(requestId, idempotencyKey, true);
     }
 
-    private String arrive(String requestId, String idempotencyKey, boolean retriedByClient) {
+    private String sendRequest(String requestId, String idempotencyKey, boolean retriedByClient) {
         actions.clear();
         balancer.onRequest(
                 nowMicros,
@@ -145,17 +145,20 @@
         }
     }
 
-    /** The request may have run in the zone that is gone, so a rejection, which says that nothing ran, would be wrong. */
+    /**
+     * The earlier attempt may have run in a zone that is no longer listed. A rejection would be wrong, because it says
+     * that the request did not run.
+     */
     @Test
-    void clientRetryFailsWhenItsWindowIsOver() {
+    void clientRetryFailsIfNoUpstreamCanDeduplicateIt() {
         String upstream = upstreamOf(request("r1", "key"));
         endAttempt("r1", upstream, Outcome.RESET);
         nowMicros += 5 * SECOND;
         assertEquals("fail r2", clientRetry("r2", "key"));
-        // Inside the window, without an upstream in scope, it waits up to its latency objective and fails as well.
+        // Within the window but without an upstream in scope, it waits until its latency objective and then fails.
         String otherUpstream = upstreamOf(request("r3", "other"));
         endAttempt("r3", otherUpstream, Outcome.RESET);
-        list(otherUpstream.equals("a1") ? "b1" : "a1");
+        listUpstreams(otherUpstream.equals("a1") ? "b1" : "a1");
         assertEquals("timer hold", clientRetry("r4", "other"));
         runTimersUntil("fail r4");
         assertTrue(
@@ -168,7 +171,7 @@
     void attemptThatNeverRanIsRepeatedInAnotherZone() {
         // given
         String firstUpstream = upstreamOf(request("r1", "key"));
-        list("a1", "b1");
+        listUpstreams("a1", "b1");
         actions.clear();
         // when
         balancer.onOutcome(nowMicros, "r1", 0, firstUpstream, Outcome.CONNECT_FAILED, 1_000, false, null);
@@ -178,9 +181,9 @@
                 actions.recorded().toString());
     }
 
-    /** A restarted process doesn't know what the one before it sent. */
+    /** After a restart the process does not know which attempts the previous process sent. */
     @Test
-    void unknownClientRetryFailsAfterARestart() {
+    void clientRetryOfAnUnknownAttemptFailsAfterARestart() {
         // given
         restart();
         // when, then
--- a/src/test/java/loadbalancer/zones/ZoneHealthTest.java
+++ b/src/test/java/loadbalancer/zones/ZoneHealthTest.java
@@ -19,7 +19,7 @@
         return health;
     }
 
-    private static void silence(ZoneHealth health, long fromMicros, String... upstreamIds) {
+    private static void makeSilent(ZoneHealth health, long fromMicros, String... upstreamIds) {
         for (String upstreamId : upstreamIds) {
             health.timedOut(fromMicros, upstreamId);
             health.timedOut(fromMicros + 340 * MILLISECOND, upstreamId);
@@ -29,20 +29,20 @@
     @Test
     void zoneIsUnresponsiveWhenAllItsUpstreamsAreSilent() {
         ZoneHealth health = healthyZone();
-        silence(health, SECOND, "a", "b", "c");
-        // One of four has responded lately.
+        makeSilent(health, SECOND, "a", "b", "c");
+        // One of the four upstreams has responded recently.
         assertEquals(State.HEALTHY, health.state(2 * SECOND));
         assertEquals(0.25, health.availableFraction(2 * SECOND), 1e-9);
-        silence(health, 2 * SECOND, "d");
+        makeSilent(health, 2 * SECOND, "d");
         assertEquals(State.UNRESPONSIVE, health.state(2 * SECOND + 340 * MILLISECOND));
         assertEquals(0, health.availableFraction(3 * SECOND));
-        // Discovery has listed it ever since: others may reach it.
+        // Discovery still lists the zone, so others may reach it.
         assertEquals(State.PARTITIONED, health.state(6 * SECOND));
     }
 
-    /** The balancer ejects a silent upstream after two health checks, so there may be no third timeout. */
+    /** The balancer ejects a silent upstream after two failed health checks, so there may be no third timeout. */
     @Test
-    void silenceLastsWithTimeAfterTwoTimeouts() {
+    void zoneBecomesUnresponsiveWithoutAThirdTimeout() {
         // given
         ZoneHealth health = healthyZone();
         // when
@@ -56,15 +56,15 @@
     }
 
     @Test
-    void singleTimeoutsAndBurstsOfTimeoutsAreNoSilence() {
-        // given one timeout each
+    void singleTimeoutsAndBurstsOfTimeoutsDoNotMakeUpstreamsSilent() {
+        // given one timeout of each upstream
         ZoneHealth health = healthyZone();
         for (String upstreamId : FOUR_UPSTREAMS) {
             health.timedOut(SECOND, upstreamId);
         }
         // then
         assertEquals(State.HEALTHY, health.state(2 * SECOND));
-        // given requests that time out together, which is one event
+        // given requests that time out together, which count as one timeout
         ZoneHealth burst = healthyZone();
         for (String upstreamId : FOUR_UPSTREAMS) {
             for (int i = 0; i < 4; i++) {
@@ -78,19 +78,19 @@
     }
 
     @Test
-    void silentMinorityWithoutOtherEvidenceIsNoZoneFailure() {
+    void silentMinorityIsNotAZoneFailureEvenWithoutEvidenceOfTheOthers() {
         ZoneHealth health = new ZoneHealth();
         health.onReadyUpstreams(0, Set.of("a", "b", "c", "d", "e"));
-        silence(health, SECOND, "a", "b");
+        makeSilent(health, SECOND, "a", "b");
         assertEquals(State.HEALTHY, health.state(2 * SECOND));
-        silence(health, 2 * SECOND, "c");
+        makeSilent(health, 2 * SECOND, "c");
         assertEquals(State.UNRESPONSIVE, health.state(3 * SECOND));
     }
 
     @Test
-    void zoneRecoversByResponsesOfHalfItsUpstreams() {
+    void zoneRecoversOnceHalfItsUpstreamsHaveResponded() {
         ZoneHealth health = healthyZone();
-        silence(health, SECOND, "a", "b", "c", "d");
+        makeSilent(health, SECOND, "a", "b", "c", "d");
         health.responded(3 * SECOND, "a");
         assertEquals(State.PROBATION, health.state(3 * SECOND));
         health.responded(3 * SECOND, "a");
@@ -111,7 +111,7 @@
             health.responded(3 * SECOND, "x");
         }
         assertEquals(State.HEALTHY, health.state(3 * SECOND));
-        // It had four upstreams before: two are half of it.
+        // The zone had four upstreams before, so the two are half of it.
         assertEquals(0.5, health.availableFraction(3 * SECOND), 1e-9);
     }
 }
--- a/src/test/java/loadbalancer/zones/ZonePreferenceTest.java
+++ b/src/test/java/loadbalancer/zones/ZonePreferenceTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void loadSpillsOverSmoothlyAndPanicComesLast() {
+    void loadSpillsOverToLaterTiersAndIsSplitBySizeInPanic() {
         assertArrayEquals(new double[] {1, 0, 0}, loadFractions(1, 1, 1), 1e-9);
         assertArrayEquals(new double[] {1, 0, 0}, loadFractions(0.75, 1, 1), 1e-9);
         assertArrayEquals(new double[] {0.7, 0.3, 0}, loadFractions(0.5, 1, 1), 1e-9);
--- a/src/test/java/loadbalancer/zones/ZoneRateLimiterTest.java
+++ b/src/test/java/loadbalancer/zones/ZoneRateLimiterTest.java
@@ -14,11 +14,13 @@
         return new ZoneRateLimiter(5, doublingMicros, 0.13, 24 * SECOND, 0);
     }
 
-    /** Requests a second that are allowed when {@code wantedPerSecond} are wanted, evenly in time. */
+    /**
+     * Offers evenly spaced requests at a rate of {@code offeredPerSecond}, and returns the rate at which they are sent.
+     */
     private static double sentPerSecond(
-            ZoneRateLimiter limiter, long fromMicros, long toMicros, double wantedPerSecond) {
+            ZoneRateLimiter limiter, long fromMicros, long toMicros, double offeredPerSecond) {
         int sentCount = 0;
-        for (double atMicros = fromMicros; atMicros < toMicros; atMicros += SECOND / wantedPerSecond) {
+        for (double atMicros = fromMicros; atMicros < toMicros; atMicros += SECOND / offeredPerSecond) {
             if (limiter.allows((long) atMicros, false)) {
                 limiter.requestSent((long) atMicros);
                 sentCount++;
@@ -34,18 +36,18 @@
         assertEquals(40, sentPerSecond(limiter, 0, 3 * SECOND, 40), 1);
         // when
         limiter.startLimiting(3 * SECOND);
-        // then, as four times as much is wanted at once
-        double first = sentPerSecond(limiter, 3 * SECOND, 4 * SECOND, 160);
-        assertTrue(first > 40 && first < 85, "first " + first);
+        // then, when the offered rate quadruples at once
+        double inFirstSecond = sentPerSecond(limiter, 3 * SECOND, 4 * SECOND, 160);
+        assertTrue(inFirstSecond > 40 && inFirstSecond < 85, "rate in the first second: " + inFirstSecond);
         sentPerSecond(limiter, 4 * SECOND, 5 * SECOND, 160);
-        double third = sentPerSecond(limiter, 5 * SECOND, 6 * SECOND, 160);
-        assertTrue(third < 140 && third > first, "third " + third);
+        double inThirdSecond = sentPerSecond(limiter, 5 * SECOND, 6 * SECOND, 160);
+        assertTrue(inThirdSecond < 140 && inThirdSecond > inFirstSecond, "rate in the third second: " + inThirdSecond);
         sentPerSecond(limiter, 6 * SECOND, 9 * SECOND, 160);
         assertTrue(sentPerSecond(limiter, 9 * SECOND, 10 * SECOND, 160) > 150);
     }
 
     @Test
-    void overloadedZoneGetsLess() {
+    void limitIsReducedWhileTheZoneReportsOverload() {
         // given
         ZoneRateLimiter limiter = limiter(2 * SECOND);
         sentPerSecond(limiter, 0, 3 * SECOND, 40);
@@ -57,12 +59,12 @@
         sentPerSecond(limiter, 3 * SECOND, 5 * SECOND, 160);
         // then
         assertTrue(sentPerSecond(limiter, 5 * SECOND, 6 * SECOND, 160) < 40);
-        assertTrue(limiter.allows(6 * SECOND, true), "top priority may overdraw");
+        assertTrue(limiter.allows(6 * SECOND, true), "top-priority requests may overdraw the token bucket");
         assertFalse(limiter.hasHeadroom());
     }
 
     @Test
-    void returnedZoneIsRampedAsIfAllItsUpstreamsHadRestarted() {
+    void returnedZoneIsRampedUpAsIfAllItsUpstreamsHadRestarted() {
         // given
         ZoneRateLimiter limiter = limiter(500 * MILLISECOND);
         sentPerSecond(limiter, 0, 5 * SECOND, 100);
@@ -75,7 +77,7 @@
             double rate = sentPerSecond(limiter, (20 + second) * SECOND, (21 + second) * SECOND, 100);
             assertTrue(
                     rate <= 3 * 100 * slowStartCapacity,
-                    "in second " + second + " " + rate + " of " + 100 * slowStartCapacity);
+                    "rate in second " + second + ": " + rate + ", capacity: " + 100 * slowStartCapacity);
         }
         assertEquals(100, sentPerSecond(limiter, 50 * SECOND, 52 * SECOND, 100), 2);
         assertEquals(1, limiter.recoveredFraction(52 * SECOND));
