--- a/src/main/java/loadbalancer/gossip/FailureGossip.java
+++ b/src/main/java/loadbalancer/gossip/FailureGossip.java
@@ -11,32 +11,40 @@
 import loadbalancer.balancing.Balancer.Upstream;
 
 /**
- * Tells peers which upstreams could not be connected to. Alone, each sidecar would find each dead upstream by an attempt of its
- * own. A report is about one process of an upstream, by id and start time, so that it ends with the process. It lowers the
- * selection weight only; no capacity, ejection or rule depends on it.
+ * Tells the peers which upstreams this sidecar could not connect to. Without it each sidecar would detect each dead
+ * upstream only by an attempt of its own. A report is about one process of an upstream, identified by id and start
+ * time, so that it does not affect the next process. Reports only lower the selection weight; no capacity, ejection or
+ * rule depends on them.
  *
- * <p>Bounds: {@link #MIN_REPORTERS} sidecars must have failed within {@link #REPORT_EXPIRY_MICROS}, so that no single one has an
- * effect; a response to this sidecar overrides all reports; if half of the upstreams or more would be affected, none is. Messages
- * are paced so that no sidecar receives more than {@link #MAX_RECEIVED_PER_SECOND} a second, and an upstream that has enough
- * reporters is not reported again.
+ * <p>The effect of reports is limited: {@link #MIN_REPORTERS} sidecars must have reported a failure within
+ * {@link #REPORT_EXPIRY_MICROS}, so that no single sidecar has an effect. A response to this sidecar overrides all
+ * reports. If half of the upstreams or more would be affected, none is. Messages are paced so that no sidecar receives
+ * more than {@link #MAX_RECEIVED_PER_SECOND} per second, and an upstream that has enough reporters is not reported
+ * again.
  */
 public final class FailureGossip {
-    /** Sidecars that must report a failure, this one included, before it has an effect. */
+    /** Number of sidecars, including this one, that must report a failure before it has an effect. */
     static final int MIN_REPORTERS = 2;
 
-    /** As long as discovery may take to report the same; after it some sidecar has to try again. */
+    /**
+     * Equals the time that discovery may take to report the failure. After it, some sidecar has to try the upstream
+     * again.
+     */
     static final long REPORT_EXPIRY_MICROS = 2_000_000;
 
-    /** Remaining factor on the selection weight: rarely drawn, so that a wrong report is found out. */
+    /**
+     * Factor on the selection weight of a failed upstream. Above 0, so that requests are still rarely sent and reveal a
+     * wrong report.
+     */
     static final double FAILED_TRUST_FACTOR = 0.02;
 
-    /** Upstream processes with reports that are tracked at most. */
+    /** Maximum number of upstream processes with reports. */
     static final int MAX_TRACKED = 4_096;
 
-    /** A connection attempt given up earlier ended with its client's deadline, which is no evidence. */
+    /** A connection attempt that was given up earlier ended with its client's deadline, which is no evidence. */
     static final long MIN_CONNECT_WAIT_MICROS = 200_000;
 
-    /** Entries in one message, which is at most 256 bytes. */
+    /** Maximum number of entries in a message, which has at most 256 bytes. */
     static final int MAX_ENTRIES = 60;
 
     private static final byte MESSAGE_TAG = 'L';
@@ -44,7 +52,7 @@
     private static final long MIN_INTERVAL_MICROS = 50_000;
     private static final long MAX_RECEIVED_PER_SECOND = 500;
 
-    /** Price, in points of the score, that one message to all peers may have. */
+    /** Maximum price of one message to all peers, in points of the score. */
     private static final double MAX_MESSAGE_PRICE = 0.1;
 
     private static final double TYPICAL_MESSAGE_BYTES = 16;
@@ -56,7 +64,7 @@
     private final Set<Integer> unsent = new LinkedHashSet<>();
     private long lastSentMicros = Long.MIN_VALUE / 2;
 
-    /** Time that {@link #confirmedCount} was counted at. */
+    /** Time at which {@link #confirmedCount} was counted. */
     private long countedMicros = Long.MIN_VALUE;
 
     private int confirmedCount;
@@ -67,7 +75,7 @@
         this.intervalMicros = intervalMicros;
     }
 
-    /** The latest reports about one upstream process, by distinct sidecars. */
+    /** The latest reports about one upstream process, from distinct sidecars. */
     private static final class FailureReports {
         private final int[] reporters = new int[MIN_REPORTERS];
         private final long[] reportedMicros = new long[MIN_REPORTERS];
@@ -98,7 +106,10 @@
         }
     }
 
-    /** Empty where gossip is forbidden, of no use because load is sampled before each request, or too expensive. */
+    /**
+     * Creates failure gossip for a sidecar. Empty if gossip is forbidden or too expensive, if there are too few peers,
+     * or if it would be of no use because load is sampled before each request.
+     */
     public static Optional<FailureGossip> forSettings(Settings settings) {
         int peerCount = settings.sidecarCount() - 1;
         double messagePrice =
@@ -113,7 +124,7 @@
         return Optional.of(new FailureGossip(settings.sidecarIndex(), settings.sidecarCount(), intervalMicros));
     }
 
-    /** Whether these bytes have the form of such a message. */
+    /** Whether these bytes have the format of a failure gossip message. */
     public static boolean isMessage(byte[] message) {
         return message.length > 1
                 && message[0] == MESSAGE_TAG
@@ -122,11 +133,11 @@
     }
 
     /**
-     * This sidecar could not connect to an upstream.
+     * Handles a failed connection of this sidecar to an upstream.
      *
      * @param refused      whether the connection was refused
-     * @param waitedMicros how long it was waited for, microseconds
-     * @return whether a message is to be sent for it
+     * @param waitedMicros how long the sidecar waited for the connection, in microseconds
+     * @return whether the failure has to be reported in a message
      */
     public boolean connectFailed(long nowMicros, Upstream upstream, boolean refused, long waitedMicros) {
         if (!refused && waitedMicros < MIN_CONNECT_WAIT_MICROS) {
@@ -134,12 +145,12 @@
         }
         int hash = processHash(upstream);
         FailureReports reports = reportsByProcess.get(hash);
-        boolean known = reports != null && reports.isConfirmed(nowMicros);
+        boolean alreadyConfirmed = reports != null && reports.isConfirmed(nowMicros);
         addReport(nowMicros, sidecarIndex, hash);
-        return !known && unsent.size() < MAX_ENTRIES && unsent.add(hash);
+        return !alreadyConfirmed && unsent.size() < MAX_ENTRIES && unsent.add(hash);
     }
 
-    /** An upstream responded to this sidecar, which overrides all reports about it. */
+    /** Handles a response of an upstream to this sidecar, which overrides all reports about the upstream. */
     public void responseReceived(Upstream upstream) {
         if (!reportsByProcess.isEmpty()) {
             int hash = processHash(upstream);
@@ -148,12 +159,12 @@
         }
     }
 
-    /** Time after {@code nowMicros} until the next message may be sent, microseconds; 0: at once. */
+    /** Time in microseconds until the next message may be sent; 0 if it may be sent now. */
     public long delayMicros(long nowMicros) {
         return Math.max(0, lastSentMicros + intervalMicros - nowMicros);
     }
 
-    /** The message to send to all peers now; empty if its reports have been confirmed or overridden meanwhile. */
+    /** Returns the message to send to all peers now; empty if its reports have been confirmed or overridden since. */
     public Optional<byte[]> nextMessage(long nowMicros) {
         if (unsent.isEmpty()) {
             return Optional.empty();
@@ -165,7 +176,10 @@
         return Optional.of(Arrays.copyOf(message.array(), message.position()));
     }
 
-    /** Takes a message of a peer, by its index in the settings; anything else is dropped. */
+    /**
+     * Handles a message of a peer, given by its index in the settings. Messages of other senders or formats are
+     * dropped.
+     */
     public void receive(long nowMicros, int peer, byte[] message) {
         if (peer < 0 || peer >= sidecarCount || peer == sidecarIndex || !isMessage(message)) {
             return;
@@ -181,7 +195,7 @@
         }
     }
 
-    /** Factor on the selection weight of one of {@code endpointCount} upstreams, over 0 and up to 1. */
+    /** Factor on the selection weight of one of {@code endpointCount} upstreams; above 0 and at most 1. */
     public double trustFactor(long nowMicros, Upstream upstream, int endpointCount) {
         if (reportsByProcess.isEmpty()) {
             return 1;
@@ -198,7 +212,7 @@
         return reports != null && reports.isConfirmed(nowMicros) ? FAILED_TRUST_FACTOR : 1;
     }
 
-    /** Equal at all sidecars. */
+    /** Hash of an upstream's id and start time, which is equal at all sidecars. */
     private static int processHash(Upstream upstream) {
         int bits = (upstream.id().hashCode() * 31 + Long.hashCode(upstream.startedMicros() / 1000)) * 0x9e3779b9;
         return bits ^ bits >>> 16;
--- a/src/main/java/loadbalancer/gossip/GossipTrust.java
+++ b/src/main/java/loadbalancer/gossip/GossipTrust.java
@@ -1,34 +1,36 @@
 package loadbalancer.gossip;
 
 /**
- * How far the peers' claims agree with what upstreams report in their responses. Gossip that is late or false has the form of
- * true gossip and shows only in that comparison. Once the two are uncorrelated, selection by gossip is worse than random
- * selection, since all sidecars follow the same outdated state (Mitzenmacher, How Useful Is Old Information?, IEEE TPDS 11(1),
- * 2000), so gossip is ignored. Where they correlate but gossip claims more, the mean excess is subtracted.
+ * Decides how far gossip is trusted, by comparing the peers' claims with the load that upstreams report in their
+ * responses. Late or false gossip looks like correct gossip and can be detected only by this comparison. If the two are
+ * uncorrelated, gossip is ignored: selection by outdated gossip is worse than random selection, because all sidecars
+ * follow the same outdated state (Mitzenmacher, How Useful Is Old Information?, IEEE TPDS 11(1), 2000). If they
+ * correlate but gossip claims more, the mean excess is subtracted.
  *
- * <p>A run of rejections without an attempt also suspends trust until the next attempt ends: a sidecar to which all
- * upstreams seem full would otherwise never learn better. Moments are exponentially weighted over responses.
+ * <p>Consecutive rejections without an attempt also suspend trust until the next attempt ends: a sidecar to which all
+ * upstreams seem full would otherwise send no attempts and never get a report that shows the opposite. All moments are
+ * exponentially weighted over responses.
  */
 final class GossipTrust {
     /** Weight of one response in the moments. */
     static final double SMOOTHING_FACTOR = 0.08;
 
-    /** Correlation below which trust is lost. */
+    /** Correlation below which gossip is distrusted. */
     static final double DISTRUST_CORRELATION = 0.15;
 
-    /** Correlation from which trust is regained. */
+    /** Correlation from which gossip is trusted again. */
     static final double TRUST_CORRELATION = 0.35;
 
     /** Consecutive rejections after which gossip is ignored until an attempt ends. */
     static final int MAX_CONSECUTIVE_REJECTIONS = 16;
 
-    /** Mean excess that is not subtracted, in requests: gossip and reports are not of the same moment. */
+    /** Mean excess in requests that is not subtracted, because gossip and reports are not taken at the same moment. */
     private static final double TOLERATED_EXCESS = 0.5;
 
-    /** Added to all moments, so that nearly idle upstreams count as correlated. */
+    /** Added to variances and covariance, so that gossip about nearly idle upstreams counts as correlated. */
     private static final double VARIANCE_FLOOR = 0.01;
 
-    /** Moments before the first response: trusted. */
+    /** Variances and covariance before the first response, so that gossip is trusted at first. */
     private static final double INITIAL_VARIANCE = 0.3;
 
     private double gossipMean;
@@ -40,7 +42,10 @@
     private boolean distrusted;
     private int consecutiveRejections;
 
-    /** Compares requests in flight of peers at one upstream, by gossip and by the upstream's report at the same time. */
+    /**
+     * Compares the peers' requests in flight at an upstream, as counted by gossip and by the upstream's report at the
+     * same time.
+     */
     void compare(double gossiped, double reported) {
         double gossipDeviation = gossiped - gossipMean;
         double reportDeviation = reported - reportMean;
@@ -55,12 +60,12 @@
         distrusted = correlation() < (distrusted ? TRUST_CORRELATION : DISTRUST_CORRELATION);
     }
 
-    /** An attempt of this sidecar has ended. */
+    /** Handles the end of an attempt of this sidecar. */
     void attemptEnded() {
         consecutiveRejections = 0;
     }
 
-    /** This sidecar has rejected a request, whether for gossip or not. */
+    /** Handles a request that this sidecar has rejected, whether because of gossip or not. */
     void requestRejected() {
         consecutiveRejections++;
     }
@@ -75,7 +80,7 @@
         return !distrusted;
     }
 
-    /** How many of {@code gossiped} requests in flight to count. */
+    /** Returns how many of {@code gossiped} requests in flight to count. */
     int credibleCount(int gossiped) {
         if (gossiped == 0 || distrusted || consecutiveRejections >= MAX_CONSECUTIVE_REJECTIONS) {
             return 0;
--- a/src/main/java/loadbalancer/gossip/InFlightGossip.java
+++ b/src/main/java/loadbalancer/gossip/InFlightGossip.java
@@ -9,36 +9,41 @@
 import loadbalancer.balancing.PeerLoad;
 
 /**
- * Tells peers which requests this sidecar has in flight, and sums up what they tell. Where many sidecars share many upstreams,
- * a sidecar rarely meets an upstream twice within a service time, so its own evidence of the upstream's load is outdated; the
- * peers' requests in flight are most of that load.
+ * Sends this sidecar's requests in flight to its peers, and adds up those that the peers send. If many sidecars share
+ * many upstreams, a sidecar rarely uses an upstream twice within a service time, so its own evidence of the upstream's
+ * load is outdated. The peers' requests in flight make up most of that load.
  *
- * <p>Messages are paced so that no sidecar receives more than {@link #MAX_RECEIVED_PER_SECOND} a second from all peers. Where
- * the fleet is too large, or gossip too expensive, for all to hear each message, only the sidecars that share an upstream by
- * {@link SubsetAssignment} do. What peers claim is bounded by {@link PeerInFlight} and checked by {@link GossipTrust}.
+ * <p>Messages are paced so that no sidecar receives more than {@link #MAX_RECEIVED_PER_SECOND} per second from all
+ * peers. If the fleet is too large or gossip too expensive to send each message to all peers, it goes only to the
+ * sidecars that share an upstream by {@link SubsetAssignment}. The peers' claims are limited by {@link PeerInFlight}
+ * and checked by {@link GossipTrust}.
  */
 public final class InFlightGossip implements PeerLoad {
-    /** While requests are in flight a message is repeated this often, so that peers don't let it expire. */
+    /**
+     * Interval at which a message is repeated while requests are in flight, so that it does not expire at the peers.
+     */
     static final long REFRESH_MICROS = 100_000;
 
-    /** Bytes that the price of gossip refers to. */
+    /** Message size for which the price of gossip is given, in bytes. */
     static final double PRICED_BYTES = 256;
 
     private static final long MIN_INTERVAL_MICROS = 10_000;
 
-    /** Interval above which messages would be outdated: a service takes tens of milliseconds. */
+    /**
+     * Interval above which messages would be outdated, because an upstream serves a request in tens of milliseconds.
+     */
     private static final long MAX_INTERVAL_MICROS = 30_000;
 
-    /** Costs a receiver a few hundredths of its core. */
+    /** Receiving this many messages takes a few hundredths of a core. */
     private static final long MAX_RECEIVED_PER_SECOND = 1_300;
 
-    /** Price, in points of the score, that the messages caused by one request may have in all. */
+    /** Maximum price of all messages caused by one request, in points of the score. */
     private static final double MAX_PRICE_PER_REQUEST = 0.01;
 
     /** Bytes sent to each peer for one request. */
     private static final double BYTES_PER_REQUEST = 16;
 
-    /** Null where all peers hear each message. */
+    /** Null if each message goes to all peers. */
     private final SubsetAssignment subsets;
 
     private final Map<String, Integer> ownInFlight = new HashMap<>();
@@ -48,7 +53,7 @@
     /** Peers that share an upstream whose requests in flight have changed since the last message. */
     private final BitSet pendingRecipients = new BitSet();
 
-    /** By peer; empty where all peers hear each message. */
+    /** Time of the last message to each peer; empty if each message goes to all peers. */
     private final long[] lastSentToMicros;
 
     private long intervalMicros;
@@ -62,7 +67,10 @@
         lastSentToMicros = new long[subsets == null ? 0 : sidecarCount];
     }
 
-    /** Empty where gossip is forbidden, of no use because load is sampled before each request, or too expensive. */
+    /**
+     * Creates in-flight gossip for a sidecar. Empty if gossip is forbidden or too expensive, if there are no peers, or
+     * if it would be of no use because load is sampled before each request.
+     */
     public static Optional<InFlightGossip> forSettings(Settings settings) {
         int sidecarCount = settings.sidecarCount();
         int peerCount = sidecarCount - 1;
@@ -88,25 +96,25 @@
                 new SubsetAssignment(settings.sidecarIndex(), sidecarCount, recipientCount + 1)));
     }
 
-    /** Whether these bytes have the form of such a message. */
+    /** Whether these bytes have the format of an in-flight gossip message. */
     public static boolean isMessage(byte[] message) {
         return InFlightMessage.isMessage(message);
     }
 
-    /** The ids of the upstreams that take requests now, in any order. */
+    /** Handles a change of the upstreams that accept requests, with all of their ids in any order. */
     public void onEndpoints(List<String> upstreamIds) {
         if (subsets != null) {
             subsets.onEndpoints(upstreamIds);
         }
     }
 
-    /** This sidecar has sent an attempt. */
+    /** Handles an attempt that this sidecar has sent. */
     public void attemptStarted(String upstreamId) {
         ownInFlight.merge(upstreamId, 1, Integer::sum);
         addRecipientsFor(upstreamId);
     }
 
-    /** An attempt of this sidecar has ended. */
+    /** Handles the end of an attempt of this sidecar. */
     public void attemptEnded(String upstreamId) {
         ownInFlight.computeIfPresent(upstreamId, (id, count) -> count > 1 ? count - 1 : null);
         trust.attemptEnded();
@@ -114,33 +122,36 @@
     }
 
     /**
-     * An upstream reported its load in a response whose attempt has not ended here yet.
+     * Handles a load report that arrived in a response, before {@link #attemptEnded} is called for its attempt.
      *
-     * @param inFlight requests that it has in flight by its own count, without the one it answered
+     * @param inFlight the upstream's own count of its requests in flight, without the one that it has just answered
      */
     public void loadReported(long nowMicros, String upstreamId, double inFlight) {
         trust.compare(
                 peerInFlight.inFlight(nowMicros, upstreamId), inFlight + 1 - ownInFlight.getOrDefault(upstreamId, 0));
     }
 
-    /** This sidecar has rejected a request. */
+    /** Handles a request that this sidecar has rejected. */
     public void requestRejected() {
         trust.requestRejected();
     }
 
-    /** Time after {@code nowMicros} until the next message may be sent, microseconds; 0: at once. */
+    /** Time in microseconds until the next message may be sent; 0 if it may be sent now. */
     public long delayMicros(long nowMicros) {
         return Math.max(0, lastSentMicros + intervalMicros - nowMicros);
     }
 
-    /** Time after a message until it is due again though nothing changed, microseconds; 0: never, as nothing is in flight. */
+    /**
+     * Time in microseconds after which a message is repeated without a change; 0 for never, if no request is in flight.
+     */
     public long refreshDelayMicros() {
         return ownInFlight.isEmpty() ? 0 : REFRESH_MICROS;
     }
 
     /**
-     * The peers, by index, that the next message is for; null for all. These are the peers that share an upstream with changes,
-     * and those that share one with requests in flight and whose last message is older than {@link #REFRESH_MICROS}.
+     * Returns the indices of the peers to send the next message to; null for all peers. These are the peers that share
+     * an upstream whose requests in flight have changed, and those that share an upstream with requests in flight and
+     * were sent the last message at least {@link #REFRESH_MICROS} ago.
      */
     public int[] nextRecipients(long nowMicros) {
         if (subsets == null) {
@@ -162,13 +173,16 @@
         return recipients;
     }
 
-    /** The message to send now. */
+    /** Returns the message to send now. */
     public byte[] nextMessage(long nowMicros) {
         lastSentMicros = nowMicros;
         return InFlightMessage.encode(++sequence, ownInFlight);
     }
 
-    /** Takes a message of a peer, by its index in the settings; anything else is dropped. */
+    /**
+     * Handles a message of a peer, given by its index in the settings. Messages of other senders or formats are
+     * dropped.
+     */
     public void receive(long nowMicros, int peer, byte[] message) {
         peerInFlight.receive(nowMicros, peer, message);
     }
@@ -193,7 +207,10 @@
         return subsets == null ? 0 : subsets.rank(upstreamId);
     }
 
-    /** Interval at which nobody receives more than {@link #MAX_RECEIVED_PER_SECOND}, if each hears as many as it tells. */
+    /**
+     * Interval at which no sidecar receives more than {@link #MAX_RECEIVED_PER_SECOND}, if each receives messages from
+     * as many peers as it sends them to.
+     */
     private static long intervalMicros(int recipientCount) {
         return Math.max(MIN_INTERVAL_MICROS, recipientCount * 1_000_000L / MAX_RECEIVED_PER_SECOND);
     }
--- a/src/main/java/loadbalancer/gossip/InFlightMessage.java
+++ b/src/main/java/loadbalancer/gossip/InFlightMessage.java
@@ -4,23 +4,25 @@
 import java.util.Map;
 
 /**
- * Wire format of in-flight gossip: a tag, a sequence number and a 16-bit hash of the upstream for each request in flight. A
- * message carries its sender's full in-flight set, so the next message repairs any loss.
+ * Wire format of in-flight gossip: a tag, a sequence number and, for each request in flight, a 16-bit hash of its
+ * upstream. A message contains all requests that its sender has in flight, so the next message makes up for a lost one.
  */
 final class InFlightMessage {
-    /** Largest message, bytes. */
     static final int MAX_BYTES = 256;
 
     static final int HEADER_BYTES = 2;
     static final int ENTRY_BYTES = 2;
 
-    /** Requests in one message. */
+    /** Maximum number of requests in one message. */
     static final int MAX_ENTRIES = (MAX_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 
-    /** Requests of one sidecar at one upstream that are sent, and that are counted. */
+    /**
+     * Maximum number of requests of one sidecar at one upstream, both in a message that is sent and when one is
+     * received.
+     */
     static final int MAX_PER_UPSTREAM = 8;
 
-    /** First byte; the balancer's own gossip begins with another one. */
+    /** First byte, which differs from that of other gossip messages. */
     private static final byte TAG = 'H';
 
     private InFlightMessage() {}
@@ -42,7 +44,7 @@
         return Arrays.copyOf(message, HEADER_BYTES + ENTRY_BYTES * entryCount);
     }
 
-    /** Whether these bytes have the form of such a message. */
+    /** Whether these bytes have the format of an in-flight gossip message. */
     static boolean isMessage(byte[] message) {
         return message.length >= HEADER_BYTES
                 && message[0] == TAG
@@ -50,7 +52,7 @@
                 && message.length <= HEADER_BYTES + ENTRY_BYTES * MAX_ENTRIES;
     }
 
-    /** Number of the message, modulo 256. */
+    /** The sequence number of the message, modulo 256. */
     static byte sequence(byte[] message) {
         return message[1];
     }
@@ -65,7 +67,10 @@
         return hashes;
     }
 
-    /** 16 bits, equal at all sidecars. Upstreams with equal hashes are each taken to have the requests of both. */
+    /**
+     * A 16-bit hash of an upstream's id, which is equal at all sidecars. If two upstreams have the same hash, the
+     * requests of both are counted for each.
+     */
     static int upstreamHash(String upstreamId) {
         int bits = upstreamId.hashCode() * 0x9e3779b9;
         return (bits ^ bits >>> 16) & 0xffff;
--- a/src/main/java/loadbalancer/gossip/PeerInFlight.java
+++ b/src/main/java/loadbalancer/gossip/PeerInFlight.java
@@ -7,18 +7,21 @@
 import java.util.Map;
 
 /**
- * Requests in flight at each upstream by the latest gossip of all peers. What one peer can claim is bounded: at each upstream
- * by {@link InFlightMessage#MAX_PER_UPSTREAM}, and in total by {@link #ENTRY_ALLOWANCE} plus {@link #MAX_MEDIAN_MULTIPLE} times
- * what the median sidecar has in flight. A peer is forgotten {@link #EXPIRY_MICROS} after its last message.
+ * Requests in flight at each upstream, from the latest gossip of all peers. The claims of one peer are limited: at each
+ * upstream to {@link InFlightMessage#MAX_PER_UPSTREAM} requests, and in total to {@link #ENTRY_ALLOWANCE} plus
+ * {@link #MAX_MEDIAN_MULTIPLE} times the median of all sidecars' requests in flight. A peer's claims expire
+ * {@link #EXPIRY_MICROS} after its last message.
  */
 final class PeerInFlight {
     static final int ENTRY_ALLOWANCE = 8;
     static final int MAX_MEDIAN_MULTIPLE = 4;
 
-    /** After this long without a message a peer counts as dead, and what it had in flight is left to client retries. */
+    /**
+     * Time without a message after which a peer counts as dead; its requests in flight are then left to client retries.
+     */
     static final long EXPIRY_MICROS = 300_000;
 
-    /** After this long without a message any sequence number is accepted, since the peer may have restarted. */
+    /** Time without a message after which any sequence number is accepted, because the peer may have restarted. */
     private static final long SEQUENCE_EXPIRY_MICROS = InFlightGossip.REFRESH_MICROS;
 
     private static final int[] NO_ENTRIES = {};
@@ -27,12 +30,12 @@
     private final Collection<Integer> ownCounts;
     private final Map<Integer, Integer> inFlightByHash = new HashMap<>();
 
-    /** Peers that have not expired, in order of their last message. */
+    /** Peers whose claims have not expired, in order of their last message. */
     private final ArrayDeque<PeerEntries> activePeers = new ArrayDeque<>();
 
     /**
-     * @param sidecarCount sidecars of the fleet, which bounds the peers' numbers
-     * @param ownCounts    view of this sidecar's own requests in flight, by upstream
+     * @param sidecarCount number of sidecars in the fleet; the indices of peers are below it
+     * @param ownCounts    live view of this sidecar's own requests in flight at each upstream
      */
     PeerInFlight(int sidecarCount, Collection<Integer> ownCounts) {
         peers = new PeerEntries[sidecarCount];
@@ -45,7 +48,10 @@
         private long receivedMicros = Long.MIN_VALUE / 2;
     }
 
-    /** Takes a peer's message. One from an unknown peer, of another form, or older than its last is dropped. */
+    /**
+     * Handles a peer's message. A message from an unknown peer, of another format or not newer than the peer's last one
+     * is dropped.
+     */
     void receive(long nowMicros, int peerIndex, byte[] message) {
         if (peerIndex < 0 || peerIndex >= peers.length || !InFlightMessage.isMessage(message)) {
             return;
@@ -70,13 +76,13 @@
         addToTotals(peer, 1);
     }
 
-    /** Requests of all peers in flight at the upstream. */
+    /** Number of requests that all peers have in flight at the upstream. */
     int inFlight(long nowMicros, String upstreamId) {
         expirePeers(nowMicros);
         return inFlightByHash.isEmpty() ? 0 : inFlightByHash.getOrDefault(InFlightMessage.upstreamHash(upstreamId), 0);
     }
 
-    /** What the median of this sidecar and the active peers has in flight. */
+    /** The median of the requests in flight of this sidecar and of each active peer. */
     private int medianInFlight() {
         int[] inFlightCounts = new int[activePeers.size() + 1];
         for (int count : ownCounts) {
@@ -90,7 +96,7 @@
         return inFlightCounts[inFlightCounts.length / 2];
     }
 
-    /** At most {@code maxCount} of the hashes, evenly spaced. */
+    /** Returns at most {@code maxCount} of the hashes, evenly spaced. */
     private static int[] sampleEvenly(int[] hashes, int maxCount) {
         if (hashes.length <= maxCount) {
             return hashes;
@@ -102,7 +108,7 @@
         return sampled;
     }
 
-    /** The hashes in order, each at most {@link InFlightMessage#MAX_PER_UPSTREAM} times. */
+    /** Returns the hashes in ascending order, each at most {@link InFlightMessage#MAX_PER_UPSTREAM} times. */
     private static int[] capPerUpstream(int[] hashes) {
         Arrays.sort(hashes);
         int count = 0;
--- a/src/main/java/loadbalancer/gossip/SubsetAssignment.java
+++ b/src/main/java/loadbalancer/gossip/SubsetAssignment.java
@@ -7,35 +7,46 @@
 import java.util.Map;
 
 /**
- * Subsets of upstreams, one for each sidecar, that all sidecars compute alike from the same endpoint list: so few sidecars share
- * an upstream that each can tell the others of its requests in flight. By rendezvous hashing (Thaler, Ravishankar: Using
- * Name-Based Mappings to Increase Hit Rates, IEEE/ACM ToN 6(1), 1998) each sidecar chooses half of its subset, and each upstream
- * chooses as many sidecars again, so that neither is left out by chance, and a change of the list moves only the subsets that
- * contain the changed upstream. The result is a random graph over which uneven load spreads out; a few upstreams each suffice,
- * since with fresh loads the longest queue falls doubly exponentially with their number (Mitzenmacher, The Power of Two Choices,
- * IEEE TPDS 12(10), 2001).
+ * Assigns a subset of the upstreams to each sidecar. All sidecars compute the same subsets from the same endpoint list.
+ * So few sidecars share an upstream that each can send its requests in flight to the others. With rendezvous hashing
+ * (Thaler, Ravishankar: Using Name-Based Mappings to Increase Hit Rates, IEEE/ACM ToN 6(1), 1998) each sidecar chooses
+ * half of its subset, and the upstreams choose sidecars for the other half. So no sidecar or upstream is left out by
+ * chance, and a change of the list changes only the subsets that contain the changed upstream. The result is a random
+ * graph over which uneven load spreads out. A few upstreams per sidecar suffice, because with fresh load information
+ * the longest queue falls doubly exponentially with their number (Mitzenmacher, The Power of Two Choices, IEEE TPDS
+ * 12(10), 2001).
  *
- * <p>While lists differ, some gossip reaches the wrong sidecars, which costs knowledge and nothing else.
+ * <p>While the lists of sidecars differ, some gossip is sent to the wrong sidecars. Sidecars then know less about each
+ * other's requests in flight; there is no other effect.
  */
 final class SubsetAssignment {
-    /** Size below which one slow upstream is too large a part; held up to {@link #MAX_SHARER_MULTIPLE} times the sharers. */
+    /**
+     * Preferred minimum size, because one slow upstream is too large a part of a smaller subset. Up to
+     * {@link #MAX_SHARER_MULTIPLE} times the target number of sharers is accepted for it.
+     */
     static final int PREFERRED_MIN_SIZE = 4;
 
-    /** Size below which there is nothing to choose between: then each subset has all upstreams, and none is shared. */
+    /**
+     * Minimum size that leaves a choice. If subsets would be smaller, each has all upstreams instead and no sharers are
+     * known.
+     */
     static final int MIN_SIZE = 2;
 
-    /** Sidecars times upstreams above which all subsets take too long to compute: then no sharers are known. */
+    /**
+     * Number of sidecars times upstreams above which computing all subsets takes too long, so that no sharers are
+     * known.
+     */
     static final int MAX_PAIRS = 100_000;
 
     private static final int MAX_SHARER_MULTIPLE = 2;
 
-    /** Size that is enough to choose from. */
+    /** Size that gives enough choice for an average sidecar. */
     private static final int SUFFICIENT_SIZE = 8;
 
-    /** Subset capacity over a mean sidecar's load, for busy sidecars. */
+    /** Ratio of a subset's capacity to the load of an average sidecar, so that busy sidecars have enough capacity. */
     private static final int LOAD_HEADROOM = 8;
 
-    /** A score carries the index that it belongs to in its low bits. */
+    /** Number of low bits of a score that hold the index of its sidecar or upstream. */
     private static final int INDEX_BITS = 16;
 
     private static final int INDEX_MASK = (1 << INDEX_BITS) - 1;
@@ -48,22 +59,27 @@
     private String[] upstreamIds = {};
     private int[] idHashes = {};
 
-    /** By position: the subset's upstreams first, then the others, both in this sidecar's order of preference. */
+    /**
+     * Rank of each upstream, by position: those of the subset first, then the others, both in this sidecar's order of
+     * preference.
+     */
     private int[] ranks = {};
 
-    /** By position: the other sidecars that have the upstream in their subsets; empty where no sharers are known. */
+    /**
+     * For each upstream, by position, the other sidecars that have it in their subsets; empty if no sharers are known.
+     */
     private int[][] sharersByPosition = {};
 
     private int size;
 
-    /** @param targetSharerCount mean number of sidecars that may share an upstream */
+    /** @param targetSharerCount mean number of sidecars that may share an upstream, including this one */
     SubsetAssignment(int sidecarIndex, int sidecarCount, int targetSharerCount) {
         this.sidecarIndex = sidecarIndex;
         this.sidecarCount = sidecarCount;
         this.targetSharerCount = targetSharerCount;
     }
 
-    /** The ids of the upstreams that take requests now, in any order. */
+    /** Handles a change of the upstreams that accept requests, with all of their ids in any order. */
     void onEndpoints(List<String> endpointIds) {
         upstreamIds = endpointIds.toArray(new String[0]);
         idHashes = endpointIds.stream().mapToInt(String::hashCode).toArray();
@@ -87,24 +103,30 @@
         ranks = ranks(ownOrder, members);
     }
 
-    /** Upstreams of this sidecar's subset. */
+    /** Number of upstreams in this sidecar's subset. */
     int size() {
         return size;
     }
 
-    /** Position in this sidecar's order, the subset first, from 0; {@link Integer#MAX_VALUE} for an upstream not listed. */
+    /**
+     * Rank of the upstream in this sidecar's order, from 0, with the upstreams of the subset first;
+     * {@link Integer#MAX_VALUE} if the upstream is not listed.
+     */
     int rank(String upstreamId) {
         Integer position = positionById.get(upstreamId);
         return position == null ? Integer.MAX_VALUE : ranks[position];
     }
 
-    /** The other sidecars that have the upstream in their subsets. */
+    /** The other sidecars that have the upstream in their subsets; empty if no sharers are known. */
     int[] sharers(String upstreamId) {
         Integer position = positionById.get(upstreamId);
         return position == null || sharersByPosition.length == 0 ? NO_SIDECARS : sharersByPosition[position];
     }
 
-    /** Mean size of a subset; all upstreams where any choice would be shared by too many sidecars. */
+    /**
+     * Mean size of a subset; the number of all upstreams if too many sidecars would share each upstream of a smaller
+     * subset.
+     */
     private int targetSize() {
         int upstreamCount = upstreamIds.length;
         int affordableSize = (targetSharerCount * upstreamCount + sidecarCount - 1) / sidecarCount;
@@ -125,12 +147,12 @@
         return ranks;
     }
 
-    /** Upstreams of its subset that a sidecar chooses itself. */
+    /** Number of upstreams of its subset that a sidecar chooses itself. */
     private static int ownChoiceCount(int targetSize) {
         return (targetSize + 1) / 2;
     }
 
-    /** The sidecar's first {@code count} upstreams in its order of preference, by position. */
+    /** The positions of the first {@code count} upstreams in the sidecar's order of preference. */
     private int[] preferredUpstreams(int sidecar, int count) {
         long[] scores = new long[idHashes.length];
         for (int position = 0; position < idHashes.length; position++) {
@@ -139,7 +161,10 @@
         return indicesOfLowest(scores, count);
     }
 
-    /** The sidecars that an upstream chooses, in order of their indices: as many as make up the other half of all subsets. */
+    /**
+     * The indices of the sidecars that an upstream chooses, in ascending order; their number fills the other half of
+     * all subsets.
+     */
     private int[] preferredSidecars(int position, int targetSize) {
         long[] scores = new long[sidecarCount];
         for (int sidecar = 0; sidecar < sidecarCount; sidecar++) {
@@ -160,7 +185,11 @@
                 .toArray();
     }
 
-    /** By position, the other sidecars that have the upstream; {@code ownMembers} receives this sidecar's own positions. */
+    /**
+     * Returns, by position, the other sidecars that have the upstream in their subsets.
+     *
+     * @param ownMembers receives the positions of the upstreams in this sidecar's subset
+     */
     private int[][] findSharers(int targetSize, BitSet ownMembers) {
         BitSet[] sidecarsByPosition = new BitSet[upstreamIds.length];
         for (int position = 0; position < upstreamIds.length; position++) {
@@ -183,7 +212,7 @@
         return sharers;
     }
 
-    /** 46 evenly spread bits of a sidecar and an upstream (SplitMix64's finalizer). */
+    /** Hashes a sidecar and an upstream to 46 evenly distributed bits, with the finalizer of SplitMix64. */
     private static long score(int sidecar, int idHash) {
         long bits = idHash * 0x9e3779b97f4a7c15L + (sidecar + 1) * 0xd1342543de82ef95L;
         bits = (bits ^ bits >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/loadbalancer/subset/Subset.java
+++ b/src/main/java/loadbalancer/subset/Subset.java
@@ -11,26 +11,28 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 
 /**
- * The few upstreams that one sidecar keeps to: an arc of a {@link SubsetRing} from its own position, as long as its own rate
- * needs, and longer by one for each of its upstreams that seems to be down.
+ * The few upstreams that one sidecar uses: an arc of a {@link SubsetRing} that begins at the sidecar's position. Its
+ * length follows the sidecar's request rate, and grows by one for each upstream of the subset that seems to be down.
  */
 public final class Subset {
-    /** Consecutive failures after which a further upstream stands in for one. */
+    /** Consecutive failures after which an upstream is suspected to be down, and another one is added to the subset. */
     private static final int FAILURES_UNTIL_SUSPECT = 2;
 
-    /** Time after the last failure until an upstream counts as up again. */
+    /** Time after its last failure at which an upstream is no longer suspected to be down. */
     private static final long SUSPECT_MICROS = 10_000_000;
 
     private static final double RATE_AVERAGING_MICROS = 10_000_000;
     private static final double RATE_INTERVAL_MICROS = 1_000_000;
 
-    /** The subset shrinks only if the wanted size is below this part of it, since rates vary. */
+    /**
+     * The subset shrinks only if the size that the rate needs is below this fraction of its size, because rates vary.
+     */
     private static final double SHRINK_RATIO = 0.6;
 
     private final SubsetOptions options;
     private final int ringCount;
     private final int sidecarIndex;
-    /** Upstreams that have left the subset, with the time until which they are kept as draining. */
+    /** For each upstream that has left the subset, the time until which it is kept as draining. */
     private final Map<String, Long> drainingUntilMicros = new LinkedHashMap<>();
 
     private final Map<String, FailureRecord> failuresByUpstream = new HashMap<>();
@@ -44,7 +46,7 @@
     private int attemptCount;
     private int targetSize;
 
-    /** @param sidecarCount sidecars of the fleet, by the platform */
+    /** @param sidecarCount number of sidecars in the fleet, according to the platform */
     public Subset(SubsetOptions options, int sidecarIndex, int sidecarCount, long nowMicros) {
         this.options = options;
         this.sidecarIndex = sidecarIndex;
@@ -58,7 +60,7 @@
         private long lastFailureMicros;
     }
 
-    /** Mean number of sidecars that share an upstream: the fleet as far as a sidecar's balancer is concerned. */
+    /** Mean number of sidecars that share an upstream, which a sidecar's balancer uses as the size of the fleet. */
     public static int sidecarsPerUpstream(SubsetOptions options, int sidecarCount, int upstreamCount) {
         int fleetSize = options.fleetSize(sidecarCount);
         return upstreamCount <= options.minUpstreams()
@@ -66,7 +68,7 @@
                 : Math.max(1, (int) Math.round((double) fleetSize * options.minUpstreams() / upstreamCount));
     }
 
-    /** The complete endpoint list, as it is now. */
+    /** Handles a change of the endpoint list, with all of its current upstreams. */
     public void onEndpoints(List<Upstream> upstreams) {
         endpoints = List.copyOf(upstreams);
         readyInRingOrder = SubsetRing.order(
@@ -79,7 +81,11 @@
         drainingUntilMicros.keySet().retainAll(endpointIds);
     }
 
-    /** An attempt has ended; {@code unreachable}: the upstream did not respond or could not be connected to. */
+    /**
+     * Handles the end of an attempt.
+     *
+     * @param unreachable whether the upstream did not respond or could not be connected to
+     */
     public void attemptEnded(long nowMicros, String upstreamId, boolean unreachable) {
         attemptCount++;
         if (unreachable) {
@@ -89,7 +95,7 @@
         }
     }
 
-    /** A health check found the upstream unresponsive or could not connect to it. */
+    /** Handles a health check that got no response or no connection. */
     public void upstreamUnreachable(long nowMicros, String upstreamId) {
         if (members.contains(upstreamId)) {
             FailureRecord failures = failuresByUpstream.computeIfAbsent(upstreamId, id -> new FailureRecord());
@@ -98,7 +104,7 @@
         }
     }
 
-    /** Whether {@link #effectiveEndpoints} would differ from its last result; to be polled. */
+    /** Whether {@link #effectiveEndpoints} would differ from its last result. The caller has to poll this. */
     public boolean isUpdateDue(long nowMicros) {
         updateRate(nowMicros);
         return !selectMembers(nowMicros).equals(members)
@@ -106,10 +112,10 @@
     }
 
     /**
-     * Selects the subset anew.
+     * Selects the subset for the current rate and failures.
      *
-     * @return what the balancer and the connections are to know: the members of the subset, and as draining those that discovery
-     *     drains or that have left the subset recently
+     * @return the endpoints for the balancer and the connection pools: the members of the subset, and those that have
+     *     left it recently, for example because discovery drains them, as draining
      */
     public List<Upstream> effectiveEndpoints(long nowMicros) {
         updateRate(nowMicros);
@@ -133,12 +139,12 @@
         return effective;
     }
 
-    /** Members of the subset. */
+    /** Number of upstreams in the subset. */
     public int size() {
         return members.size();
     }
 
-    /** Upstreams that anything is remembered of besides the endpoint list. */
+    /** Number of upstreams for which failures or a draining time are stored. */
     int trackedUpstreams() {
         return failuresByUpstream.size() + drainingUntilMicros.size();
     }
@@ -151,10 +157,10 @@
             attemptCount = 0;
             rateMeasuredMicros = nowMicros;
         }
-        int wantedSize = Math.max(
+        int neededSize = Math.max(
                 options.minUpstreams(), (int) Math.ceil(requestsPerSecond / options.requestsPerSecondPerUpstream()));
-        if (wantedSize > targetSize || wantedSize < SHRINK_RATIO * targetSize) {
-            targetSize = wantedSize;
+        if (neededSize > targetSize || neededSize < SHRINK_RATIO * targetSize) {
+            targetSize = neededSize;
         }
     }
 
--- a/src/main/java/loadbalancer/subset/SubsetRing.java
+++ b/src/main/java/loadbalancer/subset/SubsetRing.java
@@ -8,17 +8,18 @@
 import loadbalancer.balancing.Balancer.Upstream;
 
 /**
- * Rings of all upstreams that sidecars compute alike, and each sidecar's position on one. There are several rings, so that
- * upstreams that fail together do not all have the same neighbours. In each ring the machine types of each zone are spread
- * evenly, so that any arc has about the composition of the whole. Positions follow van der Corput's sequence, so that any number
- * of sidecars stands evenly, and one more or less upstream moves a position by at most one. The sequence is that of rotating
- * subsetting (Reinventing Backend Subsetting at Google, ACM Queue 20(5), 2022), the several orders those of deterministic
- * subsetting (Site Reliability Engineering, chapter 20).
+ * Orders all upstreams on rings and gives each sidecar a position on one of them. All sidecars compute the same rings.
+ * There are several rings, so that upstreams that fail together do not all have the same neighbours. In each ring the
+ * machine types of each zone are spread evenly, so that any arc has about the composition of the whole. Positions
+ * follow the van der Corput sequence, so that any number of sidecars is evenly distributed, and adding or removing an
+ * upstream moves a position by at most one. The sequence is that of rotating subsetting (Reinventing Backend Subsetting
+ * at Google, ACM Queue 20(5), 2022); several orders are used as in deterministic subsetting (Site Reliability
+ * Engineering, chapter 20).
  */
 final class SubsetRing {
     private static final int MAX_RINGS = 8;
 
-    /** Sidecars needed for each ring: fewer would stand unevenly. */
+    /** Number of sidecars needed for each ring, because fewer would be distributed unevenly. */
     private static final int SIDECARS_PER_RING = 64;
 
     private static final double TWO_TO_32 = 4294967296.0;
@@ -31,7 +32,7 @@
         }
     }
 
-    /** Number of rings for a fleet. Sidecars that disagree on its size stand a little less evenly. */
+    /** Number of rings for a fleet. Sidecars that disagree on the fleet's size are distributed slightly less evenly. */
     static int ringCount(int sidecarCount) {
         return Math.max(1, Math.min(MAX_RINGS, sidecarCount / SIDECARS_PER_RING));
     }
@@ -43,9 +44,9 @@
         return (vanDerCorput + (double) (sidecarIndex % ringCount) / ringCount) % 1;
     }
 
-    /** The upstreams in the order of a ring, which does not depend on the order that they are given in. */
+    /** Returns the upstreams in the order of a ring, which does not depend on the order in which they are passed in. */
     static List<Upstream> order(List<Upstream> upstreams, int ring) {
-        // The key's hash code decides on positions, so all sidecars must have the same kind of key.
+        // Positions depend on the hash code of the key, so all sidecars must use the same type of key.
         Map<List<String>, List<Upstream>> strata = new LinkedHashMap<>();
         for (Upstream upstream : upstreams) {
             strata.computeIfAbsent(List.of(upstream.zone(), upstream.machineType()), stratum -> new ArrayList<>())
@@ -59,7 +60,7 @@
         return placed.stream().map(PlacedUpstream::upstream).toList();
     }
 
-    /** Spreads one stratum evenly over the ring, from an offset of its own. */
+    /** Spreads the upstreams of one stratum evenly over the ring, with an offset that depends on the stratum. */
     private static List<PlacedUpstream> spread(List<Upstream> members, int stratumHash, int ring) {
         members.sort(Comparator.comparingInt((Upstream upstream) -> idHash(upstream, ring))
                 .thenComparing(Upstream::id));
@@ -76,7 +77,7 @@
         return hash(upstream.id().hashCode(), ring);
     }
 
-    /** Spreads neighbouring numbers (MurmurHash3's finalizer). */
+    /** Hashes a number with the finalizer of MurmurHash3, so that neighbouring numbers are spread. */
     private static int hash(int value, int seed) {
         int bits = value ^ seed * 0x9e3779b9;
         bits = (bits ^ bits >>> 16) * 0x85ebca6b;
--- a/src/test/java/loadbalancer/gossip/FailureGossipTest.java
+++ b/src/test/java/loadbalancer/gossip/FailureGossipTest.java
@@ -30,7 +30,7 @@
         return new Upstream(id, "a", "k", 0, startedMicros, 1, UpstreamState.READY);
     }
 
-    /** The message of a sidecar that could not connect to these upstreams. */
+    /** Creates the message of a sidecar that could not connect to these upstreams. */
     private static byte[] messageAbout(Upstream... failed) {
         FailureGossip sender = sidecar(SIDECAR_COUNT - 1);
         for (Upstream upstream : failed) {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void twoDistinctReportersAreNeeded() {
+    void failureNeedsReportsOfTwoDistinctSidecars() {
         receiver.receive(NOW, 3, messageAbout(dead));
         receiver.receive(NOW + 1, 3, messageAbout(dead));
         assertEquals(1, trustFactor(NOW + 1, dead));
@@ -62,9 +62,9 @@
         assertEquals(FailureGossip.FAILED_TRUST_FACTOR, trustFactor(NOW + 1, dead));
     }
 
-    /** A client with a short deadline says nothing about the upstream. */
+    /** A connection attempt that ends early at its client's short deadline shows nothing about the upstream. */
     @Test
-    void connectGivenUpEarlyIsNoEvidence() {
+    void connectionAttemptGivenUpEarlyIsNoEvidence() {
         assertFalse(receiver.connectFailed(NOW, dead, false, FailureGossip.MIN_CONNECT_WAIT_MICROS - 1));
         receiver.receive(NOW, 7, messageAbout(dead));
         assertEquals(1, trustFactor(NOW, dead));
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void reportsExpireAndNeverRemoveTheWholeWeight() {
+    void reportsExpireAndNeverReduceTheWeightToZero() {
         // given
         receiver.receive(NOW, 3, messageAbout(dead));
         receiver.receive(NOW, 4, messageAbout(dead));
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void reportsEndWithTheProcess() {
+    void reportsDoNotAffectARestartedProcess() {
         // given
         receiver.receive(NOW, 3, messageAbout(dead));
         receiver.receive(NOW, 4, messageAbout(dead));
@@ -101,13 +101,13 @@
         // then
         assertEquals(1, trustFactor(NOW, dead));
         receiver.receive(NOW + 1, 3, messageAbout(dead));
-        assertEquals(1, trustFactor(NOW + 1, dead), "each has to report it again");
+        assertEquals(1, trustFactor(NOW + 1, dead), "a single new report must not have an effect");
         receiver.receive(NOW + 2, 5, messageAbout(dead));
         assertEquals(FailureGossip.FAILED_TRUST_FACTOR, trustFactor(NOW + 2, dead));
     }
 
     @Test
-    void noUpstreamIsAffectedWhereHalfOfThemWouldBe() {
+    void noUpstreamIsAffectedIfHalfOfThemOrMoreWouldBe() {
         // given
         Upstream[] all = IntStream.range(0, ENDPOINT_COUNT)
                 .mapToObj(i -> upstream("u" + i, 0))
@@ -128,7 +128,7 @@
     @Test
     void confirmedFailureIsNotReportedAgain() {
         assertTrue(receiver.connectFailed(NOW, dead, true, 0));
-        assertFalse(receiver.connectFailed(NOW, dead, true, 0), "it is already due");
+        assertFalse(receiver.connectFailed(NOW, dead, true, 0), "the report is already waiting to be sent");
         receiver.receive(NOW, 3, messageAbout(dead));
         assertEquals(Optional.empty(), receiver.nextMessage(NOW), "this sidecar and the sender have reported it");
         assertFalse(receiver.connectFailed(NOW + 1, dead, true, 0));
@@ -144,13 +144,13 @@
         // when
         byte[] message = receiver.nextMessage(NOW).orElseThrow();
         // then
-        assertTrue(message.length <= 256, "" + message.length);
+        assertTrue(message.length <= 256, message.length + " bytes");
         assertTrue(receiver.delayMicros(NOW) >= 99 * 1_000_000L / 500);
         assertEquals(Optional.empty(), receiver.nextMessage(NOW));
     }
 
     @Test
-    void unknownPeersOwnMessagesAndNoiseAreDropped() {
+    void messagesOfUnknownPeersOwnMessagesAndRandomBytesAreDropped() {
         for (int peer : new int[] {-1, 0, 100, 1_000}) {
             receiver.receive(NOW, peer, messageAbout(dead));
         }
@@ -182,7 +182,7 @@
         // when, then
         receiver.receive(NOW, 3, messageAbout(dead));
         receiver.receive(NOW, 4, messageAbout(dead));
-        assertEquals(1, trustFactor(NOW, dead), "full of noise until that expires");
+        assertEquals(1, trustFactor(NOW, dead), "no new report is stored until the random ones expire");
         // when, then
         long later = NOW + FailureGossip.REPORT_EXPIRY_MICROS;
         receiver.receive(later, 3, messageAbout(dead));
@@ -191,12 +191,14 @@
     }
 
     @Test
-    void disabledWhereForbiddenTooExpensiveOrOfNoUse() {
+    void disabledIfForbiddenTooExpensiveOrOfNoUse() {
         assertTrue(isEnabled(GossipSettings.of(0, 100, true, 0.01, 0.08)));
         assertFalse(isEnabled(GossipSettings.of(0, 100, false, 0.01, 0.08)), "forbidden");
         assertFalse(isEnabled(GossipSettings.of(0, 100, true, 1, 0.08)), "too expensive");
         assertFalse(isEnabled(GossipSettings.of(0, 2, true, 0.01, 0.08)), "too few sidecars");
-        assertFalse(isEnabled(GossipSettings.of(0, 100, true, 0.01, 0.001)), "health checks are cheap");
+        assertFalse(
+                isEnabled(GossipSettings.of(0, 100, true, 0.01, 0.001)),
+                "health checks are cheap enough to sample load before each request");
     }
 
     private static boolean isEnabled(Settings settings) {
--- a/src/test/java/loadbalancer/gossip/GossipSettings.java
+++ b/src/test/java/loadbalancer/gossip/GossipSettings.java
@@ -7,11 +7,12 @@
 import loadbalancer.balancing.Balancer.Rules;
 import loadbalancer.balancing.Balancer.Settings;
 
-/** Settings of one sidecar of a fleet, by what decides whether it gossips. */
+/** Settings of one sidecar of a fleet, with parameters for the values that decide whether gossip is enabled. */
 final class GossipSettings {
-    /** Prices at which gossip is affordable and health checks are too expensive before each request. */
+    /** Price at which gossip is affordable. */
     static final double GOSSIP_PRICE = 0.01;
 
+    /** Price at which a health check before each request is too expensive. */
     static final double HEALTH_CHECK_PRICE = 0.08;
 
     private GossipSettings() {}
--- a/src/test/java/loadbalancer/gossip/GossipTrustTest.java
+++ b/src/test/java/loadbalancer/gossip/GossipTrustTest.java
@@ -15,7 +15,7 @@
         return random.nextInt(3);
     }
 
-    private void compareTruthful(int responseCount) {
+    private void compareNearlyCorrectGossip(int responseCount) {
         for (int i = 0; i < responseCount; i++) {
             int inFlight = randomInFlight();
             trust.compare(inFlight + (random.nextInt(6) == 0 ? 1 : 0), inFlight);
@@ -23,19 +23,19 @@
     }
 
     @Test
-    void nearlyTrueGossipIsCountedInFull() {
+    void nearlyCorrectGossipIsCountedInFull() {
         for (int i = 0; i < 500; i++) {
-            compareTruthful(1);
+            compareNearlyCorrectGossip(1);
             assertTrue(trust.isTrusted(), "after " + i + " responses, correlation " + trust.correlation());
             assertEquals(3, trust.credibleCount(3));
         }
     }
 
-    /** A second late, gossip is about requests that have ended. */
+    /** Outdated gossip does not correlate with reports, because the requests that it contains have ended. */
     @Test
-    void outdatedGossipIsDistrustedWithinAHundredResponsesAndTrustedAgainWithinAsMany() {
+    void outdatedGossipIsDistrustedWithinAHundredResponsesAndTrustedAgainWithinAHundred() {
         // given
-        compareTruthful(100);
+        compareNearlyCorrectGossip(100);
         // when
         int responseCount = 0;
         while (trust.isTrusted() && responseCount < 100) {
@@ -45,12 +45,12 @@
         // then
         assertTrue(responseCount < 100);
         assertEquals(0, trust.credibleCount(3));
-        compareTruthful(100);
+        compareNearlyCorrectGossip(100);
         assertTrue(trust.isTrusted());
         assertEquals(3, trust.credibleCount(3));
     }
 
-    /** Some sidecars claim requests at all upstreams on top of the true ones. */
+    /** Some sidecars claim additional requests at all upstreams that they don't have in flight. */
     @Test
     void meanExcessIsSubtracted() {
         for (int i = 0; i < 60; i++) {
@@ -62,9 +62,11 @@
         assertEquals(0, trust.credibleCount(2));
     }
 
-    /** Gossip claims too little where upstreams still count the answered request, or serve others too. */
+    /**
+     * Gossip claims fewer requests than reports if upstreams still count the answered request or serve other clients.
+     */
     @Test
-    void deficitIsNotAdded() {
+    void meanDeficitIsNotAdded() {
         for (int i = 0; i < 60; i++) {
             int inFlight = randomInFlight();
             trust.compare(inFlight, inFlight + 2);
@@ -73,7 +75,7 @@
     }
 
     @Test
-    void idleUpstreamsKeepTrust() {
+    void gossipAboutIdleUpstreamsIsTrusted() {
         for (int i = 0; i < 500; i++) {
             trust.compare(0, 0);
             assertTrue(trust.isTrusted());
@@ -88,9 +90,12 @@
         assertFalse(trust.isTrusted());
     }
 
-    /** A sidecar to which all upstreams seem full, and that tries none, would never learn better. */
+    /**
+     * A sidecar to which all upstreams seem full sends no attempts, so it would never get a report that shows the
+     * opposite.
+     */
     @Test
-    void runOfRejectionsSuspendsTrustUntilAnAttemptEnds() {
+    void consecutiveRejectionsSuspendTrustUntilAnAttemptEnds() {
         for (int i = 0; i < GossipTrust.MAX_CONSECUTIVE_REJECTIONS; i++) {
             assertEquals(5, trust.credibleCount(5));
             trust.requestRejected();
--- a/src/test/java/loadbalancer/gossip/InFlightGossipTest.java
+++ b/src/test/java/loadbalancer/gossip/InFlightGossipTest.java
@@ -24,7 +24,7 @@
         return InFlightGossip.forSettings(GossipSettings.of(0, SIDECAR_COUNT)).orElseThrow();
     }
 
-    /** A message of a sidecar with these requests in flight. */
+    /** Creates the message of a sidecar with requests in flight at these upstreams. */
     private byte[] messageWith(String... upstreamIds) {
         for (String upstreamId : upstreamIds) {
             sender.attemptStarted(upstreamId);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void messageCarriesTheFullInFlightSet() {
+    void messageReplacesAllEarlierRequestsOfItsSender() {
         receiver.receive(NOW, 3, messageWith("u1", "u2", "u1"));
         receiver.receive(NOW, 4, messageWith("u1"));
         assertEquals(3, receiver.inFlight(NOW, "u1"));
@@ -50,9 +50,9 @@
         assertEquals(0, receiver.inFlight(NOW, "u1") + receiver.inFlight(NOW, "u2"));
     }
 
-    /** Datagrams overtake each other. */
+    /** Datagrams may arrive in another order than they were sent. */
     @Test
-    void overtakenMessageIsDropped() {
+    void messageOlderThanTheLastOneIsDropped() {
         // given
         byte[] older = messageWith("u1");
         byte[] newer = messageWith("u2");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void restartedPeerIsCountedAnew() {
+    void messageOfARestartedPeerIsAccepted() {
         // given
         for (int i = 0; i < 50; i++) {
             receiver.receive(NOW, 3, messageWith("u1"));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void silentPeerExpires() {
+    void requestsOfAPeerExpireAfterItsLastMessage() {
         // given
         receiver.receive(NOW, 3, messageWith("u1"));
         receiver.receive(NOW + 200_000, 4, messageWith("u1"));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void claimOfOnePeerAtOneUpstreamIsBounded() {
+    void claimOfOnePeerAtOneUpstreamIsLimited() {
         // given
         String[] all = new String[InFlightMessage.MAX_ENTRIES];
         Arrays.fill(all, "u1");
@@ -106,9 +106,12 @@
         assertEquals(InFlightMessage.MAX_PER_UPSTREAM, receiver.inFlight(NOW, "u1"));
     }
 
-    /** Requests are rejected for a fleet that looks full; one false sidecar of 14 must stay far from that. */
+    /**
+     * Requests are rejected if all upstreams seem full. The false claims of one of 14 sidecars must have far too little
+     * effect for that.
+     */
     @Test
-    void totalClaimOfOnePeerIsBoundedByTheMedian() {
+    void totalClaimOfOnePeerIsLimitedByTheMedian() {
         // given
         String[] all = new String[InFlightMessage.MAX_ENTRIES];
         for (int i = 0; i < all.length; i++) {
@@ -127,7 +130,7 @@
         }
         assertTrue(
                 counted - 24 <= PeerInFlight.ENTRY_ALLOWANCE + PeerInFlight.MAX_MEDIAN_MULTIPLE * 2,
-                counted + " with 24 true ones");
+                counted + " requests are counted, of which 24 are in flight");
     }
 
     @Test
@@ -147,7 +150,7 @@
     }
 
     @Test
-    void messageSizeIsBounded() {
+    void messageSizeIsLimited() {
         // given
         for (int i = 0; i < 1_000; i++) {
             sender.attemptStarted("u" + i);
@@ -159,7 +162,7 @@
         receiver.receive(NOW, 3, message);
     }
 
-    /** Random traffic, message loss and peer deaths. */
+    /** Random traffic with message loss, after which all peers expire. */
     @Test
     void totalsAreNeverNegativeAndEndAtZero() {
         SplittableRandom random = new SplittableRandom(4);
@@ -201,11 +204,13 @@
     }
 
     @Test
-    void disabledWhereForbiddenOfNoUseOrTooExpensive() {
+    void disabledIfForbiddenOfNoUseOrTooExpensive() {
         assertTrue(isEnabled(GossipSettings.of(0, 14, true, 0.01, 0.08)));
         assertFalse(isEnabled(GossipSettings.of(0, 14, false, 0.01, 0.08)), "forbidden");
-        assertFalse(isEnabled(GossipSettings.of(0, 1, true, 0.01, 0.08)), "alone");
-        assertFalse(isEnabled(GossipSettings.of(0, 14, true, 0.01, 0.002)), "health checks are cheap");
+        assertFalse(isEnabled(GossipSettings.of(0, 1, true, 0.01, 0.08)), "no peers");
+        assertFalse(
+                isEnabled(GossipSettings.of(0, 14, true, 0.01, 0.002)),
+                "health checks are cheap enough to sample load before each request");
         assertFalse(isEnabled(GossipSettings.of(0, 14, true, 0.1, 0.08)), "too expensive");
     }
 
@@ -214,42 +219,42 @@
     }
 
     @Test
-    void largeFleetTellsOnlyThePeersThatShareAnUpstream() {
+    void messagesInALargeFleetGoOnlyToPeersThatShareAnUpstream() {
         // given
-        InFlightGossip small = sidecar();
-        assertNull(small.nextRecipients(NOW), "all peers");
-        assertEquals(Integer.MAX_VALUE, small.subsetSize());
-        InFlightGossip large =
+        InFlightGossip inSmallFleet = sidecar();
+        assertNull(inSmallFleet.nextRecipients(NOW), "in a small fleet messages go to all peers");
+        assertEquals(Integer.MAX_VALUE, inSmallFleet.subsetSize());
+        InFlightGossip inLargeFleet =
                 InFlightGossip.forSettings(GossipSettings.of(0, 100)).orElseThrow();
         List<String> upstreamIds =
                 IntStream.range(0, 200).mapToObj(i -> "n" + i).toList();
-        large.onEndpoints(upstreamIds);
-        assertTrue(large.subsetSize() >= 8 && large.subsetSize() <= 30);
-        assertEquals(0, large.nextRecipients(NOW).length);
+        inLargeFleet.onEndpoints(upstreamIds);
+        assertTrue(inLargeFleet.subsetSize() >= 8 && inLargeFleet.subsetSize() <= 30);
+        assertEquals(0, inLargeFleet.nextRecipients(NOW).length);
         // when
-        String first = ofRank(0, large, upstreamIds);
-        large.attemptStarted(first);
+        String first = upstreamOfRank(0, inLargeFleet, upstreamIds);
+        inLargeFleet.attemptStarted(first);
         // then
-        int[] recipients = large.nextRecipients(NOW);
-        assertTrue(recipients.length > 2 && recipients.length < 20, recipients.length + " hear it");
-        large.nextMessage(NOW);
-        assertTrue(large.delayMicros(NOW) >= recipients.length * 1_000_000L / 1_300);
-        // A change at another upstream goes to the peers that share that one, until the first is due again.
-        String second = ofRank(1, large, upstreamIds);
-        large.attemptStarted(second);
-        assertTrue(large.nextRecipients(NOW + 20_000).length < 20);
-        assertEquals(0, large.nextRecipients(NOW + 40_000).length);
-        large.attemptEnded(second);
-        large.nextRecipients(NOW + 40_000);
-        large.nextMessage(NOW + 40_000);
-        assertTrue(large.nextRecipients(NOW + 140_000).length >= recipients.length);
-        large.attemptEnded(first);
-        assertEquals(recipients.length, large.nextRecipients(NOW + 150_000).length);
-        assertEquals(0, large.nextRecipients(NOW + 400_000).length);
-        assertEquals(0, large.refreshDelayMicros());
+        int[] recipients = inLargeFleet.nextRecipients(NOW);
+        assertTrue(recipients.length > 2 && recipients.length < 20, recipients.length + " recipients");
+        inLargeFleet.nextMessage(NOW);
+        assertTrue(inLargeFleet.delayMicros(NOW) >= recipients.length * 1_000_000L / 1_300);
+        // A change at another upstream is sent only to the peers that share it, until the first upstream is due again.
+        String second = upstreamOfRank(1, inLargeFleet, upstreamIds);
+        inLargeFleet.attemptStarted(second);
+        assertTrue(inLargeFleet.nextRecipients(NOW + 20_000).length < 20);
+        assertEquals(0, inLargeFleet.nextRecipients(NOW + 40_000).length);
+        inLargeFleet.attemptEnded(second);
+        inLargeFleet.nextRecipients(NOW + 40_000);
+        inLargeFleet.nextMessage(NOW + 40_000);
+        assertTrue(inLargeFleet.nextRecipients(NOW + 140_000).length >= recipients.length);
+        inLargeFleet.attemptEnded(first);
+        assertEquals(recipients.length, inLargeFleet.nextRecipients(NOW + 150_000).length);
+        assertEquals(0, inLargeFleet.nextRecipients(NOW + 400_000).length);
+        assertEquals(0, inLargeFleet.refreshDelayMicros());
     }
 
-    private static String ofRank(int rank, InFlightGossip gossip, List<String> upstreamIds) {
+    private static String upstreamOfRank(int rank, InFlightGossip gossip, List<String> upstreamIds) {
         return upstreamIds.stream()
                 .filter(upstreamId -> gossip.subsetRank(upstreamId) == rank)
                 .findFirst()
--- a/src/test/java/loadbalancer/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/loadbalancer/gossip/SubsetAssignmentTest.java
@@ -38,9 +38,9 @@
         return subset;
     }
 
-    /** Whatever order each has the endpoint list in. */
+    /** The order of the endpoint list differs between the sidecars. */
     @Test
-    void allSidecarsKnowEachOthersSubsets() {
+    void allSidecarsComputeTheSameSharers() {
         // given
         int sidecarCount = 100;
         List<String> upstreamIds = upstreamIds(200);
@@ -56,24 +56,27 @@
         for (int sidecar = 0; sidecar < sidecarCount; sidecar++) {
             int size = assignments.get(sidecar).size();
             assertEquals(size, subset(assignments.get(sidecar), upstreamIds).size());
-            assertTrue(size >= 8 && size <= 30, size + " of a mean of 16");
+            assertTrue(size >= 8 && size <= 30, "subset of size " + size + ", mean size 16");
             totalSize += size;
             for (String upstreamId : upstreamIds) {
                 Set<Integer> sharers = new HashSet<>();
                 Arrays.stream(assignments.get(sidecar).sharers(upstreamId)).forEach(sharers::add);
                 for (int other = 0; other < sidecarCount; other++) {
                     boolean shares = other != sidecar && contains(assignments.get(other), upstreamId);
-                    assertEquals(shares, sharers.contains(other), sidecar + " of " + other + " at " + upstreamId);
+                    assertEquals(
+                            shares,
+                            sharers.contains(other),
+                            "what sidecar " + sidecar + " computes of sidecar " + other + " at " + upstreamId);
                     sharedCount += shares ? 1 : 0;
                 }
             }
         }
         assertEquals(totalSize * 99, sharedCount);
-        assertTrue(Math.abs(totalSize - 1_600) < 100, totalSize + " in all");
+        assertTrue(Math.abs(totalSize - 1_600) < 100, "total size of all subsets " + totalSize);
     }
 
     @Test
-    void upstreamsAreSharedByAboutAsManySidecars() {
+    void allUpstreamsHaveASimilarNumberOfSharers() {
         for (int[] fleet : new int[][] {{300, 60}, {100, 60}, {100, 200}, {1000, 70}, {40, 400}}) {
             // given
             List<String> upstreamIds = upstreamIds(fleet[1]);
@@ -91,7 +94,7 @@
     }
 
     @Test
-    void newUpstreamChangesOnlySubsetsThatTakeItIn() {
+    void newUpstreamReplacesAtMostOneUpstreamOfASubset() {
         // given
         List<String> before = upstreamIds(60);
         List<String> after = new ArrayList<>(before);
@@ -108,25 +111,25 @@
                     "sidecar " + sidecar + " lost " + lost);
             movedCount += lost.size();
         }
-        assertTrue(movedCount > 0 && movedCount <= 40, movedCount + " moved");
+        assertTrue(movedCount > 0 && movedCount <= 40, movedCount + " upstreams were replaced");
     }
 
     @Test
-    void fewUpstreamsAreInAllSubsetsAndNobodyIsTold() {
+    void fewUpstreamsAreInAllSubsetsAndHaveNoSharers() {
         // given
         List<String> three = upstreamIds(3);
         // when
         SubsetAssignment assignment = assignment(5, 300, three);
         // then
         assertEquals(3, assignment.size());
-        assertEquals(0, assignment.sharers("n1").length, "299 recipients are too expensive");
+        assertEquals(0, assignment.sharers("n1").length, "gossip to 299 recipients is too expensive");
         assertEquals(0, assignment.sharers("gone").length);
         assertEquals(Integer.MAX_VALUE, assignment.rank("gone"));
         assertEquals(0, assignment(5, 300, List.of()).size());
     }
 
     @Test
-    void subsetsAreKeptWhereTheFleetIsTooLargeToTell() {
+    void veryLargeFleetHasSubsetsWithoutKnownSharers() {
         // given
         List<String> many = upstreamIds(2_000);
         // when
--- a/src/test/java/loadbalancer/subset/SubsetTest.java
+++ b/src/test/java/loadbalancer/subset/SubsetTest.java
@@ -53,7 +53,7 @@
 
     @ParameterizedTest
     @CsvSource({"100, 20", "1000, 20", "5000, 20", "5000, 12", "5000, 60", "1000, 47", "3000, 100"})
-    void upstreamsAreInAboutAsManySubsets(int sidecarCount, int upstreamCount) {
+    void allUpstreamsAreInASimilarNumberOfSubsets(int sidecarCount, int upstreamCount) {
         // given
         List<Upstream> upstreams = upstreams(upstreamCount);
         // when
@@ -66,11 +66,11 @@
         int[] counts = subsetCounts.values().stream().mapToInt(i -> i).toArray();
         double ratio = Arrays.stream(counts).max().orElse(0)
                 / (double) Arrays.stream(counts).min().orElse(1);
-        assertTrue(ratio <= 1.3, "maximum over minimum " + ratio);
+        assertTrue(ratio <= 1.3, "ratio of maximum to minimum " + ratio);
     }
 
     @Test
-    void subsetsStayEvenWhereSidecarsDisagreeOnTheFleetsSize() {
+    void subsetsStayEvenIfSidecarsDisagreeOnTheFleetsSize() {
         // when
         Map<String, Integer> subsetCounts = new HashMap<>();
         for (int sidecar = 0; sidecar < 1_000; sidecar++) {
@@ -83,9 +83,9 @@
         assertTrue(counts[counts.length - 1] <= 1.3 * counts[0], Arrays.toString(counts));
     }
 
-    /** What a sidecar has learnt of the others stays of use. */
+    /** A sidecar should keep most upstreams of its subset, because what it has learnt about them stays useful. */
     @Test
-    void oneUpstreamMoreOrLessChangesLittle() {
+    void addedUpstreamChangesFewMembers() {
         int changedCount = 0;
         for (int sidecar = 0; sidecar < 500; sidecar++) {
             Set<String> lost = new HashSet<>(members(subset(sidecar, 500, upstreams(40)), 0));
@@ -95,9 +95,12 @@
         assertTrue(changedCount <= 500 * 5 * 0.25, changedCount + " of 2500 members changed");
     }
 
-    /** HALO's split needs each machine type, and retries with an idempotency key each zone, in their true proportions. */
+    /**
+     * HALO's split needs the machine types, and retries with an idempotency key need the zones, in the same proportions
+     * as among all upstreams.
+     */
     @Test
-    void subsetHasAboutTheCompositionOfTheWhole() {
+    void subsetHasAboutTheSameCompositionAsAllUpstreams() {
         // given
         SubsetOptions atLeastTwelve = new SubsetOptions(12, 2, DRAIN, 0);
         for (int sidecar = 0; sidecar < 200; sidecar++) {
@@ -115,12 +118,12 @@
             long big = effective.stream()
                     .filter(upstream -> upstream.machineType().equals("big"))
                     .count();
-            assertTrue(big >= 2 && big <= 5, "big ones " + big + " of 12");
+            assertTrue(big >= 2 && big <= 5, big + " of 12 are of machine type big");
         }
     }
 
     @Test
-    void suspectUpstreamsAreStoodInForAndTakenBack() {
+    void suspectedUpstreamsAreSupplementedUntilTheyRecover() {
         // given
         Subset subset = subset(3, 100, upstreams(12));
         List<String> first = members(subset, 0);
@@ -132,15 +135,15 @@
         // then
         assertTrue(subset.isUpdateDue(SECOND));
         List<String> second = members(subset, SECOND);
-        assertEquals(10, second.size(), "all five are suspect, five others stand in");
+        assertEquals(10, second.size(), "all five are suspected to be down, so five others are added");
         assertTrue(second.containsAll(first));
         subset.attemptEnded(2 * SECOND, first.get(0), false);
         assertEquals(9, members(subset, 2 * SECOND).size());
-        assertEquals(5, members(subset, 20 * SECOND).size(), "they may be up again");
+        assertEquals(5, members(subset, 20 * SECOND).size(), "the suspicion expires");
     }
 
     @Test
-    void allUpstreamsAreMembersWhereAllAreSuspect() {
+    void allUpstreamsAreMembersIfAllAreSuspected() {
         // given
         Subset subset = subset(3, 100, upstreams(8));
         // when
@@ -155,7 +158,7 @@
     }
 
     @Test
-    void busySidecarHasALargerSubsetAndDrainsWhatItLeaves() {
+    void busySidecarHasALargerSubsetAndDrainsUpstreamsThatLeaveIt() {
         // given
         Subset subset = subset(1, 100, upstreams(30));
         // when
@@ -167,7 +170,7 @@
         // then
         assertTrue(subset.isUpdateDue(nowMicros));
         int busySize = members(subset, nowMicros).size();
-        assertTrue(busySize >= 9 && busySize <= 11, "20 requests a second have " + busySize + " upstreams");
+        assertTrue(busySize >= 9 && busySize <= 11, busySize + " upstreams for 20 requests per second");
         // when idle again
         long laterMicros = nowMicros + 120 * SECOND;
         List<Upstream> effective = subset.effectiveEndpoints(laterMicros);
@@ -180,7 +183,7 @@
     }
 
     @Test
-    void nothingIsRememberedOfUpstreamsThatAreNoLongerListed() {
+    void stateOfUpstreamsThatAreNoLongerListedIsRemoved() {
         // given
         Subset subset = subset(1, 100, upstreams(12));
         members(subset, 0).forEach(upstreamId -> subset.attemptEnded(SECOND, upstreamId, true));
@@ -193,7 +196,7 @@
     }
 
     @Test
-    void drainingUpstreamsAreNoMembers() {
+    void drainingUpstreamsAreNotMembers() {
         // given
         List<Upstream> upstreams = upstreams(12);
         Subset subset = subset(2, 100, upstreams);
@@ -212,13 +215,13 @@
     }
 
     @Test
-    void sidecarsPerUpstreamFollowTheFleetsSize() {
+    void sidecarsPerUpstreamDependOnTheFleetsSize() {
         assertEquals(1_250, Subset.sidecarsPerUpstream(AT_LEAST_FIVE, 5_000, 20));
         assertEquals(30, Subset.sidecarsPerUpstream(AT_LEAST_FIVE, 30, 5));
         assertEquals(
                 250,
                 Subset.sidecarsPerUpstream(new SubsetOptions(5, 2, SECOND, 1_000), 5_000, 20),
-                "the operator's fleet size holds");
+                "the operator's fleet size overrides the platform's");
         assertEquals(1, Subset.sidecarsPerUpstream(AT_LEAST_FIVE, 3, 100));
     }
 }
