--- a/src/main/java/loadbalancer/membership/Membership.java
+++ b/src/main/java/loadbalancer/membership/Membership.java
@@ -32,8 +32,8 @@
     /** A connection that fails within this time of the start of a slow start is attributed to the same restart. */
     private static final long RESTART_WINDOW_MICROS = 100_000;
     /**
-     * Times of process exits are rounded up to this grid, so that sidecars that notice one at different times agree on
-     * its slow start.
+     * Process exits and returns to service are rounded up to this grid, so that sidecars that notice one at different
+     * times agree on when its slow start begins.
      */
     private static final long RESTART_GRID_MICROS = 500_000;
 
--- a/src/main/java/loadbalancer/membership/discovery/DiscoveryListFormat.java
+++ b/src/main/java/loadbalancer/membership/discovery/DiscoveryListFormat.java
@@ -82,7 +82,8 @@
             case READY -> UpstreamState.READY;
             case DRAINING -> UpstreamState.DRAINING;
             case GONE -> UpstreamState.GONE;
-            default -> throw new IllegalArgumentException("lifecycle '" + lifecycle + "' is unknown");
+            default -> throw new IllegalArgumentException(
+                    "lifecycle must be 'Ready', 'Terminating' or 'Gone', not '" + lifecycle + "'");
         };
     }
 
--- a/src/main/java/loadbalancer/membership/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/membership/discovery/DiscoveryWatch.java
@@ -84,7 +84,7 @@
         /**
          * Called when a call has failed.
          *
-         * @param retry polls again after a backoff, for a listener without a balancer that does so
+         * @param retry polls again after a backoff, for a listener that has no balancer to do so
          */
         void onFailure(Runnable retry);
     }
@@ -229,8 +229,7 @@
             return;
         }
         if (addressChanged && consecutiveRestarts == 0) {
-            // The whole fleet may have called at once. After a backoff the service's changes would already count as
-            // notified.
+            // The whole fleet may have called at once. After a backoff the changes would already count as notified.
             restart(reason);
             return;
         }
@@ -238,8 +237,7 @@
         // A late response on this connection must not be taken for that of the next call.
         client.disconnect();
         pollPending = false;
-        // The next call asks for no wait: if it hung while discovery recovers, a call with a wait would time out too
-        // late.
+        // The next call asks for no wait, so that its timeout is short if it hangs while discovery recovers.
         listUnconfirmed |= !selfPolling;
         if (!selfPolling || !failureLogged) {
             failureLogged = true;
--- a/src/main/java/loadbalancer/membership/disk/EndpointListStore.java
+++ b/src/main/java/loadbalancer/membership/disk/EndpointListStore.java
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Overwrites the older of the two files with the list. Locks the folder before, also if the folder has been deleted
-     * since the last write.
+     * Overwrites the older of the two files with the list. Locks the folder first, again if it was deleted since the
+     * last write.
      *
      * @throws IOException if the folder can't be locked or written, or the list needs more bytes than a file may have
      */
--- a/src/main/java/loadbalancer/settings/SettingsCompleteness.java
+++ b/src/main/java/loadbalancer/settings/SettingsCompleteness.java
@@ -4,17 +4,17 @@
 import java.util.TreeMap;
 
 /**
- * Whether a configuration that replaces another one at run time has all of its keys. Most keys have a default,
- * which is right for a file that never had them; but a file that has lost a key is broken, and half of it must not
- * be applied. Pure.
+ * Checks that a configuration that replaces another one at run time has all keys of the previous one. Most keys
+ * have a default, which is correct for a file that never contained them. A file that has lost a key is broken,
+ * however, and must not be applied in part.
  */
 public final class SettingsCompleteness {
     private SettingsCompleteness() {}
 
     /**
-     * The first key of {@code previous} that {@code current} lacks, or null. Both are flattened. A key that all
-     * objects of a list had must be in all of them, however many there are. Optional keys of the protocol are not
-     * missed.
+     * Returns the first key of {@code previous} that {@code current} lacks, or null. Both are flattened. A key that
+     * all objects of a list had must be in all objects of the new list, whose length may differ. Optional keys of the
+     * protocol may be missing.
      */
     public static String firstMissingKey(Map<String, String> previous, Map<String, String> current) {
         Map<String, Integer> required = countKeys(previous);
@@ -35,14 +35,14 @@
         return key.endsWith(".aim_stretch") || key.contains("settings.extra.");
     }
 
-    /** How often each key is there, with {@code []} in place of the index in a list. */
+    /** Number of occurrences of each key, with {@code []} in place of the index in a list. */
     private static Map<String, Integer> countKeys(Map<String, String> flat) {
         Map<String, Integer> counts = new TreeMap<>();
         flat.keySet().forEach(key -> counts.merge(key.replaceAll("\\.[0-9]+(?=\\.|$)", "[]"), 1, Integer::sum));
         return counts;
     }
 
-    /** Number of objects in the key's list; 1 where it is in none. */
+    /** Number of objects in the list that contains the key; 1 if the key is not in a list. */
     private static int listSize(Map<String, String> flat, String key) {
         int index = key.indexOf("[]");
         String count = index < 0 ? "1" : flat.getOrDefault(key.substring(0, index) + ".count", "0");
--- a/src/main/java/loadbalancer/settings/SettingsException.java
+++ b/src/main/java/loadbalancer/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package loadbalancer.settings;
 
-/** Settings that no sidecar can work by; the message names the setting and is meant for a person. */
+/** Thrown for settings that are missing or invalid. The message names the setting, for an operator to read. */
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -14,18 +14,19 @@
     }
 
     static SettingsException duplicate(String path, String value) {
-        return new SettingsException("setting '" + path + "' is there twice: '" + value + "'");
+        return new SettingsException("setting '" + path + "' must be unique, but repeats '" + value + "'");
     }
 
     static SettingsException notPositive(String path, String value) {
-        return new SettingsException("setting '" + path + "' has to be over 0, not '" + value + "'");
+        return new SettingsException("setting '" + path + "' must be at least 1, not '" + value + "'");
     }
 
     static SettingsException notANumber(String path, String value) {
-        return new SettingsException("setting '" + path + "' is no number: '" + value + "'");
+        return new SettingsException("setting '" + path + "' must be a finite number, not '" + value + "'");
     }
 
-    static SettingsException unknown(String field, String value) {
-        return new SettingsException(field + " '" + value + "' is unknown");
+    /** @param requirement names the setting and the values that it may have */
+    static SettingsException unexpectedValue(String requirement, String value) {
+        return new SettingsException(requirement + ", not '" + value + "'");
     }
 }
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -17,27 +17,30 @@
 import loadbalancer.balancing.Balancer.Tenant;
 
 /**
- * Turns path=value pairs, those of {@code ENLIST} or of a sidecar's configuration, into settings. The platform's
- * field names become the project's terms here and nowhere else. Unknown paths are skipped.
+ * Reads settings from path=value pairs, which come from {@code ENLIST} or from a sidecar's configuration. This is the
+ * only place that translates the platform's field names to the terms of the code. Unknown paths are ignored.
  */
 public final class SettingsReader {
-    /** The balancer counts in halves of the window, so it must not be 0, as on a platform without this rule. */
+    /** The balancer counts in halves of the window, so it must not be 0. Platforms without this rule set it to 0. */
     private static final long MIN_OVERLOAD_WINDOW_MICROS = 2;
 
     private static final long DEFAULT_CONNECTION_IDLE_MICROS = 15_000_000;
     private static final long DEFAULT_DIAL_TIMEOUT_MICROS = 250_000;
     private static final long DEFAULT_TICK_MICROS = 1000;
-    /** Stands for an absent value. */
+    /** Value of a setting that counts as absent. */
     private static final String ABSENT = "-";
 
     private final Map<String, String> values;
 
-    /** @param values flattened settings: lists of plain values joined with commas, lists of objects counted */
+    /**
+     * @param values flattened settings: lists of plain values are joined with commas, and lists of objects have a
+     *     {@code count} and an index for each object
+     */
     public SettingsReader(Map<String, String> values) {
         this.values = values;
     }
 
-    /** @throws SettingsException for the first setting that is missing or has a value out of its bounds */
+    /** @throws SettingsException for the first setting that is missing or invalid */
     public Settings read() {
         List<RequestClass> classes = requestClasses();
         List<Tenant> tenants = tenants();
@@ -62,12 +65,12 @@
                 (long) number("period_us", DEFAULT_TICK_MICROS));
     }
 
-    /** Time after which a connection that is not up has failed, microseconds. */
+    /** Timeout of connection attempts, in microseconds. */
     public long dialTimeoutMicros() {
         return (long) number("limits.dial_timeout_us", DEFAULT_DIAL_TIMEOUT_MICROS);
     }
 
-    /** Names of a load report's values, in the order in which the wire's reports hold them. */
+    /** Names of a load report's values, in the order of the reports on the wire. */
     public List<String> reportFields() {
         return list("load_info.fields", "");
     }
@@ -196,7 +199,7 @@
             case "safe" -> Idempotency.IDEMPOTENT;
             case "keyed" -> Idempotency.WITH_KEY;
             case "unsafe" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw SettingsException.unknown("semantics", text);
+            default -> throw SettingsException.unexpectedValue("semantics must be 'safe', 'keyed' or 'unsafe'", text);
         };
     }
 
@@ -205,7 +208,7 @@
             case "all", ABSENT -> IdempotencyScope.ALL;
             case "zone" -> IdempotencyScope.ZONE;
             case "cell" -> IdempotencyScope.CELL;
-            default -> throw SettingsException.unknown("group", text);
+            default -> throw SettingsException.unexpectedValue("group must be 'all', 'zone', 'cell' or '-'", text);
         };
     }
 
--- a/src/main/java/loadbalancer/settings/package-info.java
+++ b/src/main/java/loadbalancer/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads the platform's settings and load reports, flattened to path=value pairs: for a sidecar from its
- * configuration file, for the simulator from its wire.
+ * Reads the platform's settings and load reports. A sidecar's settings come from its configuration file, those of the
+ * simulator from its wire protocol; both are flattened to path=value pairs.
  */
 package loadbalancer.settings;
--- a/src/test/java/loadbalancer/membership/discovery/DiscoveryListFormatTest.java
+++ b/src/test/java/loadbalancer/membership/discovery/DiscoveryListFormatTest.java
@@ -89,7 +89,8 @@
     @Test
     void rejectsTheWholeListForOneInvalidEndpoint() {
         Map<String, String> messages = new LinkedHashMap<>();
-        messages.put(ENTRY.replace("Ready", "ready"), "lifecycle 'ready' is unknown");
+        messages.put(
+                ENTRY.replace("Ready", "ready"), "lifecycle must be 'Ready', 'Terminating' or 'Gone', not 'ready'");
         messages.put(ENTRY.replace("10.1.0.18:8081", "host:8081"), "no address: 'host:8081'");
         messages.put(ENTRY.replace("10.1.0.18:8081", "10.1.0.18"), "no address: '10.1.0.18'");
         messages.put(ENTRY.replace("10.1.0.18:8081", "10.1.0.18:99999"), "no address: '10.1.0.18:99999'");
--- a/src/test/java/loadbalancer/settings/SettingsCompletenessTest.java
+++ b/src/test/java/loadbalancer/settings/SettingsCompletenessTest.java
@@ -19,40 +19,41 @@
         return JsonObject.parse(json.getBytes(StandardCharsets.UTF_8)).flattened();
     }
 
-    private static String missing(String with, String instead) {
-        return SettingsCompleteness.firstMissingKey(flat(FILE), flat(FILE.replace(with, instead)));
+    private static String firstMissingKeyAfterReplacing(String target, String replacement) {
+        return SettingsCompleteness.firstMissingKey(flat(FILE), flat(FILE.replace(target, replacement)));
     }
 
     @Test
-    void aKeyThatWasThereIsMissed() {
-        assertEquals("name", missing("\"name\":\"n\",", ""));
-        assertEquals("settings.me", missing("\"me\":0,", ""));
-        assertEquals("settings.limits.max_attempts", missing("\"max_attempts\":4", ""));
-        assertEquals("settings.profiles[].group", missing("\"group\":\"zone\",", ""));
-        assertEquals("settings.accounts[].share", missing(",\"share\":1", ""));
-        assertEquals("settings.azs", missing("\"azs\":[\"x\",\"y\"],", ""));
+    void findsTheKeyThatTheNewConfigurationLacks() {
+        assertEquals("name", firstMissingKeyAfterReplacing("\"name\":\"n\",", ""));
+        assertEquals("settings.me", firstMissingKeyAfterReplacing("\"me\":0,", ""));
+        assertEquals("settings.limits.max_attempts", firstMissingKeyAfterReplacing("\"max_attempts\":4", ""));
+        assertEquals("settings.profiles[].group", firstMissingKeyAfterReplacing("\"group\":\"zone\",", ""));
+        assertEquals("settings.accounts[].share", firstMissingKeyAfterReplacing(",\"share\":1", ""));
+        assertEquals("settings.azs", firstMissingKeyAfterReplacing("\"azs\":[\"x\",\"y\"],", ""));
     }
 
-    /** Classes and tenants may come and go, and what only some of them had need not be there. */
+    /** Request classes and tenants may be added or removed, and keys that only some of them had may be missing. */
     @Test
-    void whatMayChangeIsNotMissed() {
-        assertNull(missing("zzz", "z"));
-        assertNull(missing(",{\"name\":\"b\",\"group\":\"zone\",\"window_us\":3}", ""));
-        assertNull(missing("{\"name\":\"b\"", "{\"name\":\"c\",\"group\":\"all\"},{\"name\":\"b\""));
-        assertNull(missing(",\"aim_stretch\":1", ""));
-        assertNull(missing(",\"extra\":{\"warm_keys\":false}", ""));
-        assertNull(missing("{\"name\":\"t\",\"share\":1}", ""));
-        assertNull(missing(",\"window_us\":3", ""));
+    void ignoresOptionalKeysAndChangesOfClassesAndTenants() {
+        assertNull(firstMissingKeyAfterReplacing("zzz", "z"));
+        assertNull(firstMissingKeyAfterReplacing(",{\"name\":\"b\",\"group\":\"zone\",\"window_us\":3}", ""));
+        assertNull(
+                firstMissingKeyAfterReplacing("{\"name\":\"b\"", "{\"name\":\"c\",\"group\":\"all\"},{\"name\":\"b\""));
+        assertNull(firstMissingKeyAfterReplacing(",\"aim_stretch\":1", ""));
+        assertNull(firstMissingKeyAfterReplacing(",\"extra\":{\"warm_keys\":false}", ""));
+        assertNull(firstMissingKeyAfterReplacing("{\"name\":\"t\",\"share\":1}", ""));
+        assertNull(firstMissingKeyAfterReplacing(",\"window_us\":3", ""));
     }
 
     @Test
-    void whatIsNotOverNothingIsNoSetting() {
-        String right =
+    void readerRejectsNonPositiveNonFiniteAndDuplicateValues() {
+        String valid =
                 """
                 {"me":0,"balancers":1,"zone":"z","profiles":[{"name":"a","semantics":"safe","objective_us":1,"give_up_us":2}],
                  "rules":{"drain_grace_us":1,"cold_share":0.1,"ramp_time_us":1,"fall_multiple":3,"fall_us":1},"limits":{"max_attempts":1}}""";
-        new SettingsReader(flat(right)).read();
-        for (String[] wrong : new String[][] {
+        new SettingsReader(flat(valid)).read();
+        for (String[] replacement : new String[][] {
             {"\"give_up_us\":2", "\"give_up_us\":0"},
             {"\"give_up_us\":2", "\"give_up_us\":-5"},
             {"\"max_attempts\":1", "\"max_attempts\":0"},
@@ -66,8 +67,8 @@
         }) {
             assertThrows(
                     SettingsException.class,
-                    () -> new SettingsReader(flat(right.replace(wrong[0], wrong[1]))).read(),
-                    wrong[1]);
+                    () -> new SettingsReader(flat(valid.replace(replacement[0], replacement[1]))).read(),
+                    replacement[1]);
         }
     }
 }
--- a/src/test/java/loadbalancer/settings/SettingsReaderTest.java
+++ b/src/test/java/loadbalancer/settings/SettingsReaderTest.java
@@ -21,7 +21,7 @@
 import loadbalancer.balancing.RoutingConstraints;
 import org.junit.jupiter.api.Test;
 
-/** The settings that both the wire and a sidecar's configuration bring, as path and value. */
+/** Reads settings from the path=value pairs that the wire and a sidecar's configuration contain. */
 class SettingsReaderTest {
     private final Map<String, String> values = new HashMap<>(Map.ofEntries(
             Map.entry("me", "2"),
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void whatIsThere() {
+    void readsSettingsThatArePresent() {
         values.putAll(Map.of(
                 "azs",
                 "za,zb",
@@ -67,104 +67,106 @@
                 "inline"));
         values.put("discovery", "on_request");
         values.put("load_info.fields", "busy_reqs,cpu_share");
-        Settings s = read();
-        assertEquals(2, s.sidecarIndex());
-        assertEquals(List.of("za", "zb"), s.zones());
-        assertEquals(List.of("k1", "k2"), s.machineTypes());
-        assertEquals(Idempotency.WITH_KEY, s.classes().get(0).idempotency());
-        assertEquals(IdempotencyScope.ZONE, s.classes().get(0).idempotencyScope());
-        assertEquals(4_000_000, s.classes().get(0).idempotencyWindowMicros());
-        assertEquals(9, s.classes().get(0).priorityWeight());
-        assertEquals(0.4, s.tenants().get(0).capacityShare());
-        assertTrue(s.limits().hedgingAllowed());
-        assertTrue(s.pollsDiscovery());
-        assertEquals(LoadReporting.IN_RESPONSES, s.loadReporting());
+        Settings settings = read();
+        assertEquals(2, settings.sidecarIndex());
+        assertEquals(List.of("za", "zb"), settings.zones());
+        assertEquals(List.of("k1", "k2"), settings.machineTypes());
+        assertEquals(Idempotency.WITH_KEY, settings.classes().get(0).idempotency());
+        assertEquals(IdempotencyScope.ZONE, settings.classes().get(0).idempotencyScope());
+        assertEquals(4_000_000, settings.classes().get(0).idempotencyWindowMicros());
+        assertEquals(9, settings.classes().get(0).priorityWeight());
+        assertEquals(0.4, settings.tenants().get(0).capacityShare());
+        assertTrue(settings.limits().hedgingAllowed());
+        assertTrue(settings.pollsDiscovery());
+        assertEquals(LoadReporting.IN_RESPONSES, settings.loadReporting());
         assertEquals(List.of("busy_reqs", "cpu_share"), new SettingsReader(values).reportFields());
     }
 
-    /** A window of nothing is no rule: the module goes on sending. */
+    /** Platforms without the overload rule set its window to 0; the balancer must still send requests. */
     @Test
-    void aSettingWithoutAWindowForColdUpstreamsServesAllTheSame() {
-        for (String us : List.of("0", "1")) {
-            values.put("rules.fall_us", us);
+    void balancerSendsRequestsWithAnOverloadWindowOfZero() {
+        for (String windowMicros : List.of("0", "1")) {
+            values.put("rules.fall_us", windowMicros);
             List<String> sent = new ArrayList<>();
-            Balancer.Actions out = (Balancer.Actions) Proxy.newProxyInstance(
-                    Balancer.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (p, m, args) -> {
-                        if (m.getName().equals("send")) {
-                            sent.add(args[0] + " to " + args[1]);
+            Balancer.Actions actions = (Balancer.Actions) Proxy.newProxyInstance(
+                    Balancer.class.getClassLoader(),
+                    new Class<?>[] {Balancer.Actions.class},
+                    (proxy, method, arguments) -> {
+                        if (method.getName().equals("send")) {
+                            sent.add(arguments[0] + " to " + arguments[1]);
                         }
                         return null;
                     });
-            HaloBalancer module = new HaloBalancer(read(), RoutingConstraints.NONE, PeerLoad.NONE, 1, 0, out);
-            module.onEndpointList(
+            HaloBalancer balancer = new HaloBalancer(read(), RoutingConstraints.NONE, PeerLoad.NONE, 1, 0, actions);
+            balancer.onEndpointList(
                     0,
                     Balancer.EndpointListKind.FULL,
                     List.of(new Balancer.Upstream("u0", "za", "k", 0, 1, 1, Balancer.UpstreamState.READY)));
-            module.onRequest(
+            balancer.onRequest(
                     30_000_000,
                     new Balancer.Request("a", -1, false, false, 0, 800_000, "t", "c", Balancer.HTTP1, false, "key"));
-            assertEquals(List.of("a to u0"), sent, us);
+            assertEquals(List.of("a to u0"), sent, "overload window of " + windowMicros + " us");
         }
     }
 
     @Test
-    void whatIsNotThereHasItsDefault() {
-        Settings s = read();
-        assertEquals(List.of("za"), s.zones());
-        assertEquals(IdempotencyScope.ALL, s.classes().get(0).idempotencyScope());
-        assertEquals(1, s.limits().maxAttempts());
-        assertFalse(s.limits().healthChecksAllowed());
-        assertFalse(s.pollsDiscovery());
-        assertEquals(LoadReporting.NONE, s.loadReporting());
+    void usesDefaultsForMissingSettings() {
+        Settings settings = read();
+        assertEquals(List.of("za"), settings.zones());
+        assertEquals(IdempotencyScope.ALL, settings.classes().get(0).idempotencyScope());
+        assertEquals(1, settings.limits().maxAttempts());
+        assertFalse(settings.limits().healthChecksAllowed());
+        assertFalse(settings.pollsDiscovery());
+        assertEquals(LoadReporting.NONE, settings.loadReporting());
         assertEquals(250_000, new SettingsReader(values).dialTimeoutMicros());
-        assertEquals(List.of(), s.tenants());
+        assertEquals(List.of(), settings.tenants());
     }
 
     @Test
-    void whatIsWrongIsNamed() {
+    void namesTheInvalidOrMissingSetting() {
         Map.of(
                         "profiles.0.semantics",
-                        "semantics 'x' is unknown",
+                        "semantics must be 'safe', 'keyed' or 'unsafe', not 'x'",
                         "profiles.0.group",
-                        "group 'x' is unknown",
+                        "group must be 'all', 'zone', 'cell' or '-', not 'x'",
                         "me",
-                        "setting 'me' is no number: 'x'",
+                        "setting 'me' must be a finite number, not 'x'",
                         "rules.cold_share",
-                        "setting 'rules.cold_share' is no number: 'x'")
+                        "setting 'rules.cold_share' must be a finite number, not 'x'")
                 .forEach((path, message) -> {
-                    String before = values.put(path, "x");
+                    String previous = values.put(path, "x");
                     assertEquals(
                             message,
                             assertThrows(SettingsException.class, this::read, path)
                                     .getMessage());
-                    if (before == null) {
+                    if (previous == null) {
                         values.remove(path);
                     } else {
-                        values.put(path, before);
+                        values.put(path, previous);
                     }
                 });
         for (String path : List.copyOf(values.keySet())) {
-            String before = values.remove(path);
+            String previous = values.remove(path);
             assertTrue(assertThrows(SettingsException.class, this::read, path)
                     .getMessage()
                     .contains("'" + path + "' is missing"));
-            values.put(path, before);
+            values.put(path, previous);
         }
     }
 
     @Test
-    void loadUnderEitherName() {
-        LoadReportBuilder wire = new LoadReportBuilder();
-        wire.put("busy_reqs", 3);
-        wire.put("pending", 1);
-        wire.put("cpu_share", 0.5);
-        LoadReportBuilder socket = new LoadReportBuilder();
-        socket.put("inflight", 3);
-        socket.put("queue", 1);
-        socket.put("util", 0.5);
-        socket.put("something_else", 7);
-        assertEquals(new LoadReport(3, 1, 0.5), wire.build());
-        assertEquals(wire.build(), socket.build());
+    void loadReportBuilderAcceptsBothNamesOfEachValue() {
+        LoadReportBuilder withFirstNames = new LoadReportBuilder();
+        withFirstNames.put("busy_reqs", 3);
+        withFirstNames.put("pending", 1);
+        withFirstNames.put("cpu_share", 0.5);
+        LoadReportBuilder withSecondNames = new LoadReportBuilder();
+        withSecondNames.put("inflight", 3);
+        withSecondNames.put("queue", 1);
+        withSecondNames.put("util", 0.5);
+        withSecondNames.put("something_else", 7);
+        assertEquals(new LoadReport(3, 1, 0.5), withFirstNames.build());
+        assertEquals(withFirstNames.build(), withSecondNames.build());
         assertEquals(new LoadReport(-1, -1, -1), new LoadReportBuilder().build());
     }
 }
