--- a/src/main/java/loadbalancer/settings/SettingsException.java
+++ b/src/main/java/loadbalancer/settings/SettingsException.java
@@ -25,8 +25,7 @@
         return new SettingsException("setting '" + path + "' must be a finite number, not '" + value + "'");
     }
 
-    /** @param requirement names the setting and the values that it may have */
-    static SettingsException unexpectedValue(String requirement, String value) {
-        return new SettingsException(requirement + ", not '" + value + "'");
+    static SettingsException unexpectedValue(String path, String allowedValues, String value) {
+        return new SettingsException("setting '" + path + "' must be " + allowedValues + ", not '" + value + "'");
     }
 }
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -17,11 +17,15 @@
 import loadbalancer.balancing.Balancer.Tenant;
 
 /**
- * Reads settings from path=value pairs, which come from {@code ENLIST} or from a sidecar's configuration. This is the
- * only place that translates the platform's field names to the terms of the code. Unknown paths are ignored.
+ * Reads settings from path=value pairs, which come from the simulator's {@code ENLIST} message or from a sidecar's
+ * configuration. This is the only place that translates the platform's names of settings to the terms of the code.
+ * Unknown paths are ignored.
  */
 public final class SettingsReader {
-    /** The balancer counts in halves of the window, so it must not be 0. Platforms without this rule set it to 0. */
+    /**
+     * The balancer counts in halves of the window, so it must not be 0. Platforms without the overload rule set it to
+     * 0.
+     */
     private static final long MIN_OVERLOAD_WINDOW_MICROS = 2;
 
     private static final long DEFAULT_CONNECTION_IDLE_MICROS = 15_000_000;
@@ -92,8 +96,8 @@
     private RequestClass requestClass(String name, String prefix) {
         return new RequestClass(
                 name,
-                idempotency(requiredText(prefix + "semantics")),
-                idempotencyScope(values.getOrDefault(prefix + "group", "all")),
+                idempotency(prefix + "semantics", requiredText(prefix + "semantics")),
+                idempotencyScope(prefix + "group", values.getOrDefault(prefix + "group", "all")),
                 (long) number(prefix + "window_us", 0),
                 (long) requiredPositive(prefix + "objective_us"),
                 number(prefix + "aim_stretch", 0),
@@ -194,21 +198,21 @@
         return Arrays.asList(values.getOrDefault(path, defaultValue).split(","));
     }
 
-    private static Idempotency idempotency(String text) {
+    private static Idempotency idempotency(String path, String text) {
         return switch (text) {
             case "safe" -> Idempotency.IDEMPOTENT;
             case "keyed" -> Idempotency.WITH_KEY;
             case "unsafe" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw SettingsException.unexpectedValue("semantics must be 'safe', 'keyed' or 'unsafe'", text);
+            default -> throw SettingsException.unexpectedValue(path, "'safe', 'keyed' or 'unsafe'", text);
         };
     }
 
-    private static IdempotencyScope idempotencyScope(String text) {
+    private static IdempotencyScope idempotencyScope(String path, String text) {
         return switch (text) {
             case "all", ABSENT -> IdempotencyScope.ALL;
             case "zone" -> IdempotencyScope.ZONE;
             case "cell" -> IdempotencyScope.CELL;
-            default -> throw SettingsException.unexpectedValue("group must be 'all', 'zone', 'cell' or '-'", text);
+            default -> throw SettingsException.unexpectedValue(path, "'all', 'zone', 'cell' or '-'", text);
         };
     }
 
--- a/src/test/java/loadbalancer/settings/SettingsReaderTest.java
+++ b/src/test/java/loadbalancer/settings/SettingsReaderTest.java
@@ -126,9 +126,9 @@
     void namesTheInvalidOrMissingSetting() {
         Map.of(
                         "profiles.0.semantics",
-                        "semantics must be 'safe', 'keyed' or 'unsafe', not 'x'",
+                        "setting 'profiles.0.semantics' must be 'safe', 'keyed' or 'unsafe', not 'x'",
                         "profiles.0.group",
-                        "group must be 'all', 'zone', 'cell' or '-', not 'x'",
+                        "setting 'profiles.0.group' must be 'all', 'zone', 'cell' or '-', not 'x'",
                         "me",
                         "setting 'me' must be a finite number, not 'x'",
                         "rules.cold_share",
