--- a/src/main/java/loadbalancer/membership/EndpointEntry.java
+++ b/src/main/java/loadbalancer/membership/EndpointEntry.java
@@ -14,8 +14,8 @@
     private static final long MAX_RETRY_DELAY_MICROS = 30_000_000;
 
     enum State {
-        /** Listed by discovery, or by any list if the policy accepts lists of any age. */
-        LISTED,
+        /** Confirmed by discovery, or listed by any list if the policy accepts lists of any age. */
+        CONFIRMED,
         /** Listed by a fresh list, or verified by a check; not confirmed by discovery. */
         IN_USE,
         /** Listed by a stale list: withheld until a check verifies it. */
@@ -81,7 +81,7 @@
      * noticed yet.
      */
     void confirm() {
-        state = State.LISTED;
+        state = State.CONFIRMED;
         uncertainty = Uncertainty.NONE;
         slowStartFromMicros = 0;
         checkInFlight = false;
--- a/src/main/java/loadbalancer/membership/Membership.java
+++ b/src/main/java/loadbalancer/membership/Membership.java
@@ -118,7 +118,7 @@
     private void addBase(long nowMicros, EndpointList base, Staleness staleness, List<String> logMessages) {
         EndpointEntry.State state =
                 switch (staleness) {
-                    case UNCHECKED -> EndpointEntry.State.LISTED;
+                    case UNCHECKED -> EndpointEntry.State.CONFIRMED;
                     case FRESH -> EndpointEntry.State.IN_USE;
                     default -> EndpointEntry.State.UNVERIFIED;
                 };
@@ -224,7 +224,8 @@
             if (endpoint.upstream().state() == UpstreamState.GONE) {
                 entries.remove(endpoint.id());
             } else if (entries.containsKey(endpoint.id()) || entries.size() < MAX_ENDPOINTS) {
-                entries.computeIfAbsent(endpoint.id(), id -> new EndpointEntry(endpoint, EndpointEntry.State.LISTED, 0))
+                entries.computeIfAbsent(
+                                endpoint.id(), id -> new EndpointEntry(endpoint, EndpointEntry.State.CONFIRMED, 0))
                         .update(endpoint);
             }
         }
--- a/src/main/java/loadbalancer/membership/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/membership/discovery/DiscoveryWatch.java
@@ -13,8 +13,9 @@
  * Watches discovery with long polls, one call after another, from the balancer's first poll on. A call that gets no
  * response within the timeout of its {@link PollSchedule} is restarted at once, and so is the first call to a new
  * address if it fails in any way. Any other failure, or a second one in a row, is reported to the balancer, which
- * decides when to poll again. The current endpoint list stays in use meanwhile. All methods are called on the event
- * loop; a {@link DiscoveryClient} sends the calls.
+ * decides when to poll again. A watch of an agent on the same machine polls by itself: it restarts each call that times
+ * out, and repeats a failed one after a backoff. The current endpoint list stays in use meanwhile. All methods are
+ * called on the event loop; a {@link DiscoveryClient} sends the calls.
  */
 public final class DiscoveryWatch {
     private static final String PATH = "/registry/instances";
@@ -265,7 +266,7 @@
         } catch (RuntimeException exception) {
             // No exception that a malformed response causes may end the watch.
             completeListNeeded = true;
-            onCallFailure(currentCall, "the response is not an endpoint list: " + exception.getMessage());
+            onCallFailure(currentCall, "the response is not a usable endpoint list: " + exception.getMessage());
             return;
         }
         endCall();
@@ -286,7 +287,10 @@
         boolean follows = !completeListNeeded && list.generation() >= generation;
         boolean usable = list.complete() ? !list.endpoints().isEmpty() : follows;
         if (!usable) {
-            throw new IllegalArgumentException("the list is empty or does not continue the previous one");
+            throw new IllegalArgumentException(
+                    "expected a complete list with endpoints, or requested changes from version "
+                            + generation + " on; received version " + list.generation() + " with "
+                            + list.endpoints().size() + " endpoints");
         }
         return list;
     }
--- a/src/main/java/loadbalancer/membership/discovery/PollSchedule.java
+++ b/src/main/java/loadbalancer/membership/discovery/PollSchedule.java
@@ -26,7 +26,7 @@
         long completeListTimeoutMillis,
         long addressChangeTimeoutMillis,
         boolean alwaysRestarts) {
-    /** Time after the wait of a call without a response at which changes count as notified. */
+    /** If a call gets no response, changes count as notified this long after the end of its wait. */
     static final long NOTIFIED_AFTER_MILLIS = 2_000;
     /** Time after a change of discovery's address at which the list of the new service counts as notified. */
     static final long ADDRESS_CHANGE_NOTIFIED_AFTER_MILLIS = 4_000;
--- a/src/main/java/loadbalancer/membership/disk/EndpointListStore.java
+++ b/src/main/java/loadbalancer/membership/disk/EndpointListStore.java
@@ -127,7 +127,8 @@
         long next = sequence + 1;
         byte[] file = new EndpointListFile(next, list).encode(fleet);
         if (file.length > maxFileBytes) {
-            throw new IOException("the list takes " + file.length + " bytes, which is too long for a file");
+            throw new IOException(
+                    "the list takes " + file.length + " bytes, too long for a file of at most " + maxFileBytes);
         }
         Path temporary = folder.resolve("list.new");
         writeSynced(temporary, file);
