--- a/src/main/java/loadbalancer/gossip/FailureGossip.java
+++ b/src/main/java/loadbalancer/gossip/FailureGossip.java
@@ -52,7 +52,7 @@
     private static final long MIN_INTERVAL_MICROS = 50_000;
     private static final long MAX_RECEIVED_PER_SECOND = 500;
 
-    /** Maximum price of one message to all peers, in points of the score. */
+    /** Maximum price of one message to all peers, in the unit of the platform's prices (points of the score). */
     private static final double MAX_MESSAGE_PRICE = 0.1;
 
     private static final double TYPICAL_MESSAGE_BYTES = 16;
--- a/src/main/java/loadbalancer/gossip/InFlightGossip.java
+++ b/src/main/java/loadbalancer/gossip/InFlightGossip.java
@@ -37,7 +37,9 @@
     /** Receiving this many messages takes a few hundredths of a core. */
     private static final long MAX_RECEIVED_PER_SECOND = 1_300;
 
-    /** Maximum price of all messages caused by one request, in points of the score. */
+    /**
+     * Maximum price of all messages caused by one request, in the unit of the platform's prices (points of the score).
+     */
     private static final double MAX_PRICE_PER_REQUEST = 0.01;
 
     /** Bytes sent to each peer for one request. */
--- a/src/main/java/loadbalancer/gossip/InFlightMessage.java
+++ b/src/main/java/loadbalancer/gossip/InFlightMessage.java
@@ -5,7 +5,8 @@
 
 /**
  * Wire format of in-flight gossip: a tag, a sequence number and, for each request in flight, a 16-bit hash of its
- * upstream. A message contains all requests that its sender has in flight, so the next message makes up for a lost one.
+ * upstream. A message contains all requests that its sender has in flight, up to {@link #MAX_PER_UPSTREAM} for each
+ * upstream and {@link #MAX_ENTRIES} in total, so the next message makes up for a lost one.
  */
 final class InFlightMessage {
     static final int MAX_BYTES = 256;
--- a/src/main/java/loadbalancer/gossip/SubsetAssignment.java
+++ b/src/main/java/loadbalancer/gossip/SubsetAssignment.java
@@ -8,13 +8,13 @@
 
 /**
  * Assigns a subset of the upstreams to each sidecar. All sidecars compute the same subsets from the same endpoint list.
- * So few sidecars share an upstream that each can send its requests in flight to the others. With rendezvous hashing
- * (Thaler, Ravishankar: Using Name-Based Mappings to Increase Hit Rates, IEEE/ACM ToN 6(1), 1998) each sidecar chooses
- * half of its subset, and the upstreams choose sidecars for the other half. So no sidecar or upstream is left out by
- * chance, and a change of the list changes only the subsets that contain the changed upstream. The result is a random
- * graph over which uneven load spreads out. A few upstreams per sidecar suffice, because with fresh load information
- * the longest queue falls doubly exponentially with their number (Mitzenmacher, The Power of Two Choices, IEEE TPDS
- * 12(10), 2001).
+ * The sidecars that share an upstream are few enough for each to send its requests in flight to the others. With
+ * rendezvous hashing (Thaler, Ravishankar: Using Name-Based Mappings to Increase Hit Rates, IEEE/ACM ToN 6(1), 1998)
+ * each sidecar chooses half of its subset, and the upstreams choose sidecars for the other half. So no sidecar or
+ * upstream is left out by chance, and a change of the list changes only the subsets that contain the changed upstream.
+ * The result is a random graph over which uneven load spreads out. A few upstreams per sidecar suffice, because with
+ * fresh load information the longest queue falls doubly exponentially with their number (Mitzenmacher, The Power of Two
+ * Choices, IEEE TPDS 12(10), 2001).
  *
  * <p>While the lists of sidecars differ, some gossip is sent to the wrong sidecars. Sidecars then know less about each
  * other's requests in flight; there is no other effect.
--- a/src/main/java/loadbalancer/zones/IdempotencyLedger.java
+++ b/src/main/java/loadbalancer/zones/IdempotencyLedger.java
@@ -32,7 +32,7 @@
     /** In order of the last attempt, so that the eldest entry expires first. */
     private final Map<String, KeyAttempts> attemptsByKey = new LinkedHashMap<>();
 
-    private long fullCount;
+    private long refusedWhenFullCount;
 
     /**
      * @param maxKeys         maximum number of keys
@@ -131,9 +131,9 @@
         return attemptsByKey.size();
     }
 
-    /** Number of times that a new key was not allowed because the ledger was full. */
-    long fullCount() {
-        return fullCount;
+    /** Number of calls of {@link #allows} that refused a new key because the ledger was full. */
+    long refusedWhenFullCount() {
+        return refusedWhenFullCount;
     }
 
     private static String entryKey(RequestClass requestClass, String idempotencyKey) {
@@ -158,7 +158,7 @@
     private boolean canEvictEldest(long nowMicros) {
         Iterator<KeyAttempts> eldest = attemptsByKey.values().iterator();
         boolean evictable = eldest.hasNext() && nowMicros - eldest.next().lastSentMicros >= retentionMicros;
-        fullCount += evictable ? 0 : 1;
+        refusedWhenFullCount += evictable ? 0 : 1;
         return evictable;
     }
 
--- a/src/main/java/loadbalancer/zones/ZoneHealth.java
+++ b/src/main/java/loadbalancer/zones/ZoneHealth.java
@@ -6,10 +6,10 @@
 
 /**
  * Health of one zone, derived from the responses and timeouts of its upstreams. An upstream is silent after
- * {@link #TIMEOUTS_UNTIL_SILENT} consecutive timeouts, from {@link #MIN_SILENCE_MICROS} after the first of them. A zone
- * is unresponsive when every upstream with recent evidence is silent, and these are at least half of the zone's
- * upstreams and at least two, unless the zone has only one. A partial failure is not a zone failure; the balancer's
- * outlier ejection handles it.
+ * {@link #TIMEOUTS_UNTIL_SILENT} consecutive timeouts, but no earlier than {@link #MIN_SILENCE_MICROS} after the first
+ * of them. A zone is unresponsive when every upstream with recent evidence is silent, and these are at least half of
+ * the zone's upstreams and at least two, unless the zone has only one. A partial failure is not a zone failure; the
+ * balancer's outlier ejection handles it.
  */
 final class ZoneHealth {
     /** Consecutive timeouts after which an upstream may count as silent. */
--- a/src/main/java/loadbalancer/zones/ZoneRateLimiter.java
+++ b/src/main/java/loadbalancer/zones/ZoneRateLimiter.java
@@ -135,7 +135,7 @@
         return slowStartCeiling(nowMicros) == Double.MAX_VALUE ? 1 : Math.min(1, limitPerSecond / perSecondBeforeLoss);
     }
 
-    /** Whether the limit is far enough above the measured rate to have no effect. */
+    /** Whether the limit is far enough above the measured rate to have no effect, and the zone is not overloaded. */
     boolean hasHeadroom() {
         return limitPerSecond >= Math.max(INEFFECTIVE_LIMIT_RATIO * sentPerSecond, minPerSecond)
                 && queueRatio <= OVERLOAD_QUEUE_RATIO;
--- a/src/main/java/loadbalancer/zones/ZoneRouting.java
+++ b/src/main/java/loadbalancer/zones/ZoneRouting.java
@@ -28,7 +28,7 @@
 final class ZoneRouting implements RoutingConstraints {
     private static final long UPDATE_INTERVAL_MICROS = 50_000;
 
-    /** Rate limits are lifted once no zone has been lost and no limit has had an effect for this long. */
+    /** Rate limits are lifted once all zones have been in service and no limit has had an effect for this long. */
     private static final long LIMIT_LIFT_DELAY_MICROS = 3_000_000;
 
     /** Weight of a zone that is due for a trial or on probation; low, so that the zone gets few requests. */
@@ -52,8 +52,8 @@
     private ZoneOptions options;
     private boolean panicMode;
     private long updatedMicros;
-    /** Last time at which a zone was lost or a rate limit had an effect. */
-    private long limitNeededMicros;
+    /** Last time at which a zone was out of service or a rate limit had an effect. */
+    private long limitLastNeededMicros;
 
     ZoneRouting(ZoneOptions options, Settings settings, long seed, long nowMicros, Consumer<String> log) {
         this.options = options;
@@ -230,24 +230,24 @@
 
     private void update(long nowMicros) {
         updatedMicros = nowMicros;
-        boolean anyLost = false;
+        boolean anyOutOfService = false;
         boolean allHaveHeadroom = true;
         for (TrackedZone zone : zonesByName.values()) {
             if (zone.health().maxReadyCount() > 0) {
                 if (zone.updateMode(nowMicros, options.drainedZones().contains(zone.name()))) {
                     log.accept(zone.description());
                 }
-                anyLost |= zone.mode() != RoutingMode.IN_SERVICE;
+                anyOutOfService |= zone.mode() != RoutingMode.IN_SERVICE;
                 allHaveHeadroom &= zone.rateLimiter().hasHeadroom();
             }
         }
-        if (anyLost || !allHaveHeadroom) {
-            limitNeededMicros = nowMicros;
+        if (anyOutOfService || !allHaveHeadroom) {
+            limitLastNeededMicros = nowMicros;
         }
         for (TrackedZone zone : zonesByName.values()) {
-            if (anyLost && zone.mode() == RoutingMode.IN_SERVICE) {
+            if (anyOutOfService && zone.mode() == RoutingMode.IN_SERVICE) {
                 zone.rateLimiter().startLimiting(nowMicros);
-            } else if (!anyLost && nowMicros - limitNeededMicros >= LIMIT_LIFT_DELAY_MICROS) {
+            } else if (!anyOutOfService && nowMicros - limitLastNeededMicros >= LIMIT_LIFT_DELAY_MICROS) {
                 zone.rateLimiter().stopLimiting();
             }
         }
@@ -286,7 +286,7 @@
             int tier = tierOf(zone.name());
             zone.setWeight(
                     switch (zone.mode()) {
-                            // Relative to an equal share for each upstream, which the balancer's split already gives.
+                            // The weight is relative to the equal share of each upstream in the balancer's split.
                         case IN_SERVICE -> readyCounts[tier] == 0 || usableCount == 0
                                 ? 1
                                 : Math.max(MIN_WEIGHT, loadFractions[tier] * usableCount / readyCounts[tier]);
--- a/src/test/java/loadbalancer/zones/IdempotencyLedgerTest.java
+++ b/src/test/java/loadbalancer/zones/IdempotencyLedgerTest.java
@@ -104,7 +104,7 @@
         // then
         assertEquals(100, allowedCount);
         assertEquals(100, ledger.size());
-        assertTrue(ledger.fullCount() >= 900);
+        assertTrue(ledger.refusedWhenFullCount() >= 900);
         assertFalse(ledger.allows(SECOND, BY_ZONE, "k0", B1));
         // A new attempt extends the retention of its key; the other keys expire.
         ledger.attemptSent(30 * SECOND, BY_ZONE, "k0", A1);
