--- a/src/main/java/loadbalancer/control/server/ControlServer.java
+++ b/src/main/java/loadbalancer/control/server/ControlServer.java
@@ -95,7 +95,7 @@
             Log.event("start.refused", exception.getMessage());
             return EXIT_INVALID_INPUT;
         }
-        Log.jsonOutput(file.jsonLog());
+        Log.setJsonOutput(file.jsonLog());
         // SIGTERM is no failure, and the other replicas remember what this one has promised.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(() -> Runtime.getRuntime().halt(0), "ending"));
--- a/src/main/java/loadbalancer/core/Attempt.java
+++ b/src/main/java/loadbalancer/core/Attempt.java
@@ -75,7 +75,7 @@
     void drop();
 
     /** Ends it with {@code NOT_SENT} where nothing of it has been written yet; leaves it alone otherwise. */
-    void withdraw();
+    void cancelIfUnsent();
 
     /** Abandons it; an execution that may have begun goes on. No effect once it has ended. */
     void cancel();
--- a/src/main/java/loadbalancer/core/Log.java
+++ b/src/main/java/loadbalancer/core/Log.java
@@ -26,12 +26,12 @@
     }
 
     /** Whether events are printed as JSON from now on. */
-    public static void jsonOutput(boolean on) {
+    public static void setJsonOutput(boolean on) {
         jsonOutput = on;
     }
 
     /** Sends the current thread's events to {@code sink} from now on; null sends them to standard error again. */
-    public static synchronized void divert(Sink sink) {
+    public static synchronized void setThreadSink(Sink sink) {
         if (threadSink == null) {
             threadSink = new ThreadLocal<>();
         }
--- a/src/main/java/loadbalancer/core/Requests.java
+++ b/src/main/java/loadbalancer/core/Requests.java
@@ -104,7 +104,7 @@
     }
 
     /** Sets the attempts that a request may have, for requests that are admitted from now on. */
-    public void maxAttempts(int maxAttemptsPerRequest) {
+    public void setMaxAttempts(int maxAttemptsPerRequest) {
         maxAttempts = maxAttemptsPerRequest;
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** Admits a request whose id is not in flight; the balancer decides about it, perhaps before this returns. */
-    public void accept(Exchange exchange) {
+    public void admit(Exchange exchange) {
         metrics.requestAdmitted();
         exchange.maxAttempts = maxAttempts;
         exchange.acceptedMicros = clock.nowMicros();
@@ -140,7 +140,7 @@
     }
 
     /** The front end itself has responded that the request failed. */
-    public void failedByFront(Exchange exchange) {
+    public void failedByFrontEnd(Exchange exchange) {
         endWithoutResponse(exchange, RequestResult.FAILED);
     }
 
@@ -156,7 +156,7 @@
     private void withdrawAttempts(Exchange exchange) {
         for (Attempt attempt : List.copyOf(exchange.attempts())) {
             if (!attempt.hasEnded()) {
-                attempt.withdraw();
+                attempt.cancelIfUnsent();
             }
         }
     }
@@ -176,7 +176,7 @@
     }
 
     /** After the balancer failed it may have forgotten requests without an open attempt: fails all of these. */
-    public void failUnassigned() {
+    public void failRequestsWithoutOpenAttempt() {
         for (Exchange exchange : List.copyOf(exchanges.values())) {
             if (exchange.hasNoOpenAttempt()) {
                 failOverdue(exchange);
--- a/src/main/java/loadbalancer/grpc/GrpcAttempt.java
+++ b/src/main/java/loadbalancer/grpc/GrpcAttempt.java
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void withdraw() {
+    public void cancelIfUnsent() {
         if (!begun && !ended) {
             drop();
         }
--- a/src/main/java/loadbalancer/grpc/GrpcStream.java
+++ b/src/main/java/loadbalancer/grpc/GrpcStream.java
@@ -310,7 +310,7 @@
                             unreadUs));
         }
         exchange = new Exchange(request, deadlineUs, this::attempt, new Final(), trace);
-        server.requests().accept(exchange);
+        server.requests().admit(exchange);
     }
 
     private long customer() {
@@ -341,7 +341,7 @@
                         if (overflowed && !over && outcome != Outcome.OK) {
                             // Nobody could be sent it all again.
                             finish(lastEnding.code(), lastEnding.message(), lastTrailers);
-                            server.requests().failedByFront(exchange);
+                            server.requests().failedByFrontEnd(exchange);
                         }
                         result.onEnd(a, outcome, report, body);
                     }
@@ -573,7 +573,7 @@
     private void endHere(GrpcStatus code, String message) {
         if (!over) {
             if (exchange != null) {
-                server.requests().failedByFront(exchange);
+                server.requests().failedByFrontEnd(exchange);
             }
             GrpcAttempt a = current;
             status(code, message, 0, null);
--- a/src/main/java/loadbalancer/handover/HandoverFolder.java
+++ b/src/main/java/loadbalancer/handover/HandoverFolder.java
@@ -221,7 +221,7 @@
     }
 
     /** Waits after {@link #close}, for 5 s at most, until no file is touched any more; false where that takes longer. */
-    public boolean awaitEnd() throws InterruptedException {
+    public boolean awaitTermination() throws InterruptedException {
         return executor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
--- a/src/main/java/loadbalancer/handover/SlowStartOwnership.java
+++ b/src/main/java/loadbalancer/handover/SlowStartOwnership.java
@@ -28,7 +28,7 @@
     }
 
     /** The other process owns the upstreams in slow start until further notice. */
-    public void otherProcessSends() {
+    public void assignToOtherProcess() {
         otherOwnsUntilMicros = Long.MAX_VALUE;
     }
 
--- a/src/main/java/loadbalancer/http1/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/ClientConnection.java
@@ -234,7 +234,7 @@
             ClientExchange failed = current;
             current = null;
             busy = false;
-            requests.failedByFront(failed.exchange());
+            requests.failedByFrontEnd(failed.exchange());
         } else {
             pipeline.drop(body);
         }
@@ -314,7 +314,7 @@
         }
         current = admitted;
         server.requestAccepted();
-        requests.accept(admitted.exchange());
+        requests.admit(admitted.exchange());
     }
 
     private void respond(FullHttpRequest request, HttpResponseStatus status) {
--- a/src/main/java/loadbalancer/http1/UpstreamCall.java
+++ b/src/main/java/loadbalancer/http1/UpstreamCall.java
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void withdraw() {
+    public void cancelIfUnsent() {
         if (!writeStarted) {
             abandon(Outcome.NOT_SENT);
         }
--- a/src/main/java/loadbalancer/http1/Upstreams.java
+++ b/src/main/java/loadbalancer/http1/Upstreams.java
@@ -142,7 +142,7 @@
     }
 
     /** Closes the idle connections to an upstream. */
-    public void close(String upstream) {
+    public void closeIdleConnections(String upstream) {
         UpstreamTarget target = targets.get(upstream);
         if (target != null) {
             target.closeIdle();
@@ -150,12 +150,12 @@
     }
 
     /** Number of upstreams. */
-    public int knownUpstreams() {
+    public int upstreamCount() {
         return targets.size();
     }
 
     /** Number of connections that are open or being opened. */
-    public int openConnections() {
+    public int openConnectionCount() {
         return pool.openConnections();
     }
 
--- a/src/main/java/loadbalancer/sidecar/ActiveConfiguration.java
+++ b/src/main/java/loadbalancer/sidecar/ActiveConfiguration.java
@@ -84,7 +84,7 @@
         logUnlessEqual(
                 former.control(), reloaded.control(), "what changed under [control] holds from the next start on");
         logUnlessEqual(former.subset(), reloaded.subset(), "what changed under [subset] holds from the next start on");
-        Log.jsonOutput(reloaded.jsonLog());
+        Log.setJsonOutput(reloaded.jsonLog());
         if (!Objects.equals(former.zones(), reloaded.zones())) {
             applyZones(reloaded.zones());
         }
--- a/src/main/java/loadbalancer/sidecar/Engine.java
+++ b/src/main/java/loadbalancer/sidecar/Engine.java
@@ -275,7 +275,7 @@
         boolean all = balancerSettings == settings;
         settings = settings.reloadedFrom(next, maxAttempts);
         balancerSettings = all ? settings : balancerSettings.reloadedFrom(next, maxAttempts);
-        requests.maxAttempts(maxAttempts);
+        requests.setMaxAttempts(maxAttempts);
         decisions.call(m -> m.onSettings(clock.nowMicros(), balancerSettings), () -> {});
         return settings;
     }
@@ -384,7 +384,9 @@
         @Override
         public void startTimer(String mark, long delayUs) {
             timers.schedule(
-                    delayUs, () -> decisions.call(m -> m.onTimer(clock.nowMicros(), mark), requests::failUnassigned));
+                    delayUs,
+                    () -> decisions.call(
+                            m -> m.onTimer(clock.nowMicros(), mark), requests::failRequestsWithoutOpenAttempt));
         }
 
         @Override
--- a/src/main/java/loadbalancer/sidecar/Handover.java
+++ b/src/main/java/loadbalancer/sidecar/Handover.java
@@ -28,7 +28,7 @@
         slowStartOwnership = new SlowStartOwnership(settings.rules().overloadWindowMicros());
         onlyProcess = notebook.open();
         if (!onlyProcess) {
-            slowStartOwnership.otherProcessSends();
+            slowStartOwnership.assignToOtherProcess();
         }
     }
 
@@ -87,7 +87,7 @@
     boolean hasSuccessor() {
         boolean hasSuccessor = folder.hasSuccessor();
         if (hasSuccessor) {
-            loop.execute(slowStartOwnership::otherProcessSends);
+            loop.execute(slowStartOwnership::assignToOtherProcess);
         }
         return hasSuccessor;
     }
--- a/src/main/java/loadbalancer/sidecar/SidecarMain.java
+++ b/src/main/java/loadbalancer/sidecar/SidecarMain.java
@@ -52,7 +52,7 @@
         } catch (SidecarConfig.InvalidConfigException | ConfigurationException exception) {
             return refused(exception.getMessage());
         }
-        Log.jsonOutput(operator.jsonLog());
+        Log.setJsonOutput(operator.jsonLog());
         Handover handover = Handover.forEnvironment(environment, config);
         Optional<String> conflict = operator.consensus() == null
                 ? Optional.empty()
--- a/src/main/java/loadbalancer/sidecar/SidecarNetwork.java
+++ b/src/main/java/loadbalancer/sidecar/SidecarNetwork.java
@@ -54,6 +54,6 @@
 
     @Override
     public void closeIdleConnections(String upstreamId) {
-        upstreams.close(upstreamId);
+        upstreams.closeIdleConnections(upstreamId);
     }
 }
--- a/src/main/java/loadbalancer/simulation/SimulatedConnections.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedConnections.java
@@ -412,7 +412,7 @@
         }
 
         @Override
-        public void withdraw() {
+        public void cancelIfUnsent() {
             if (line == null) {
                 end(Outcome.NOT_SENT, null);
             }
--- a/src/main/java/loadbalancer/simulation/SimulatedEngine.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedEngine.java
@@ -180,7 +180,7 @@
 
     void take(Exchange x) {
         world.speaks(this);
-        engine.requests().accept(x);
+        engine.requests().admit(x);
     }
 
     void reset(SimulatedUpstream node) {
--- a/src/main/java/loadbalancer/simulation/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedFleet.java
@@ -1005,7 +1005,7 @@
     /** Plays the whole of it. */
     public SimulationRun play() {
         long begun = System.nanoTime();
-        Log.divert(event -> {
+        Log.setThreadSink(event -> {
             note((speaking == null ? "" : "s" + speaking.number + " ") + event.name() + ": " + event.text());
             if (event.isFault() && troubles.size() < MOST_TROUBLES) {
                 troubles.add("a fault of the program: " + event.text());
@@ -1016,7 +1016,7 @@
             measure();
             time.play(endUs + SETTLE_US);
         } finally {
-            Log.divert(null);
+            Log.setThreadSink(null);
         }
         settle();
         figures.wallS = (System.nanoTime() - begun) / 1e9;
--- a/src/test/java/loadbalancer/core/LogTest.java
+++ b/src/test/java/loadbalancer/core/LogTest.java
@@ -50,7 +50,7 @@
     @Test
     void eventIsPrintedAsJsonWhereThatIsSet() {
         // given
-        Log.jsonOutput(true);
+        Log.setJsonOutput(true);
         try {
             // when
             JsonObject event = jsonWith("so\\\" 8", () -> Log.event("said", "said \"so\" 8", "number", 8, "why", null));
@@ -72,7 +72,7 @@
             assertEquals("error", fault.string("level"));
             assertEquals("java.lang.IllegalStateException", fault.string("exception"));
         } finally {
-            Log.jsonOutput(false);
+            Log.setJsonOutput(false);
         }
     }
 
@@ -81,7 +81,7 @@
     void divertedThreadsEventsGoToItsSinkOnly() throws Exception {
         // given
         List<String> mine = new ArrayList<>();
-        Log.divert(event -> mine.add(event.name() + " " + event.text() + " " + event.isFault()));
+        Log.setThreadSink(event -> mine.add(event.name() + " " + event.text() + " " + event.isFault()));
         // when
         try {
             Thread other = new Thread(() -> Log.event("theirs", "not for this list"));
@@ -90,7 +90,7 @@
             Log.event("mine", "for this list");
             Log.fault("bad", new RuntimeException());
         } finally {
-            Log.divert(null);
+            Log.setThreadSink(null);
         }
         // then
         assertEquals("mine for this list false", mine.get(0));
--- a/src/test/java/loadbalancer/handover/SlowStartOwnershipTest.java
+++ b/src/test/java/loadbalancer/handover/SlowStartOwnershipTest.java
@@ -18,14 +18,14 @@
         Upstream starting = new Upstream("c", "z", "k", 1, nowMicros - 1_000_000, 1, UpstreamState.READY);
         Upstream warm = new Upstream("w", "z", "k", 1, nowMicros - 25_000_000, 1, UpstreamState.READY);
         assertTrue(constraints.allows(nowMicros, null, starting));
-        ownership.otherProcessSends();
+        ownership.assignToOtherProcess();
         assertFalse(constraints.allows(nowMicros, null, starting));
         assertTrue(constraints.allows(nowMicros, null, warm));
         ownership.onReady(nowMicros);
         assertFalse(
                 constraints.allows(nowMicros + 500_000 + SlowStartOwnership.NOTIFICATION_MICROS - 1, null, starting));
         assertTrue(constraints.allows(nowMicros + 500_000 + SlowStartOwnership.NOTIFICATION_MICROS, null, starting));
-        ownership.otherProcessSends();
+        ownership.assignToOtherProcess();
         ownership.onOtherProcessEnded();
         assertTrue(constraints.allows(nowMicros, null, starting));
     }
--- a/src/test/java/loadbalancer/sidecar/StoredDecisionLogTest.java
+++ b/src/test/java/loadbalancer/sidecar/StoredDecisionLogTest.java
@@ -129,7 +129,7 @@
         PrintStream before = System.err;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
-        Log.jsonOutput(json);
+        Log.setJsonOutput(json);
         try {
             // As loadbalancer.sidecar.Sidecar has them.
             Log.event(
@@ -145,7 +145,7 @@
             inForce(4, NEW, NEW, false);
             inForce(4, NEW, NEW, true);
         } finally {
-            Log.jsonOutput(false);
+            Log.setJsonOutput(false);
             System.setErr(before);
         }
         // Other classes of tests log too.
--- a/src/test/java/loadbalancer/sidecar/UpgradeTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpgradeTest.java
@@ -27,7 +27,7 @@
     @AfterEach
     void nobodyWritesAnyMore() throws Exception {
         for (HandoverFolder n : notebooks) {
-            assertTrue(n.awaitEnd());
+            assertTrue(n.awaitTermination());
         }
     }
 
--- a/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
@@ -205,7 +205,7 @@
                         update(upstreams, list(false, Rig.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
                         update(upstreams, list(false, Rig.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
                     }
-                    return upstreams.knownUpstreams();
+                    return upstreams.upstreamCount();
                 })
                 .get();
         assertEquals(0, kept);
@@ -223,7 +223,7 @@
             for (int i = 0; i < 5; i++) {
                 loop.execute(() -> call(upstreams, "u").start());
                 assertEquals("u OK", outcome());
-                while (loop.submit(upstreams::openConnections).get() > 0) {
+                while (loop.submit(upstreams::openConnectionCount).get() > 0) {
                     Thread.onSpinWait();
                 }
             }
--- a/src/test/java/loadbalancer/simulation/DiscoveryDelayTest.java
+++ b/src/test/java/loadbalancer/simulation/DiscoveryDelayTest.java
@@ -272,12 +272,12 @@
 
     @BeforeEach
     void divertTheLog() {
-        Log.divert(event -> {});
+        Log.setThreadSink(event -> {});
     }
 
     @AfterEach
     void restoreTheLog() {
-        Log.divert(null);
+        Log.setThreadSink(null);
     }
 
     private static void toldInTime(boolean pushed, boolean unconfirmed, long askEveryS) {
