--- a/src/main/java/loadbalancer/http1/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/ClientConnection.java
@@ -26,11 +26,12 @@
 import loadbalancer.core.Requests;
 
 /**
- * One connection of the application. Its requests are served in the order in which they come, one at a time, and each is
- * answered once. The connection ends after a response that says so, after what can't be read as HTTP, and when idle.
+ * One connection from the application. Its requests are handled one at a time, in the order in which they arrive, and
+ * each gets one response. The connection is closed after a response with {@code Connection: close}, after bytes that
+ * are not valid HTTP, and when it has been idle too long.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** Bytes behind the last valid request that are read and discarded, to see the connection's end behind them. */
+    /** Bytes after the last valid request that are read and discarded, so that the client's close is still noticed. */
     private static final int MAX_DISCARDED_BYTES = 1024 * 1024;
 
     private static final String READY_PATH = "/health/ready";
@@ -45,27 +46,27 @@
     private final RequestAssembler assembler;
     private final RequestPipeline pipeline;
     private final ConnectionTimeouts timeouts;
-    /** Something is to be done at the end of the read. */
+    /** Whether a request, the end of a body or the final status is to be handled at the end of the read. */
     private boolean hasPendingWork;
-    /** A request is being handled, or a last response being written. */
+    /** Whether a request is being handled or the response with {@link #finalStatus} is being written. */
     private boolean busy;
-    /** The admitted request being served; null while none is. */
+    /** The admitted request that waits for its response; null if there is none. */
     private ClientExchange current;
-    /** The large body of the request being handled, whether or not all of it has come; null where it has none. */
+    /** The large body of the request being handled, complete or not; null if it has none. */
     private RequestBodyForwarder currentBody;
-    /** A body whose last piece is forwarded at the end of the read; null for none. */
-    private RequestBodyForwarder endingBody;
-    /** The upstream whose response is being streamed; null while none is. */
+    /** The complete body whose held last piece is forwarded at the end of the read; null if there is none. */
+    private RequestBodyForwarder completedBody;
+    /** The upstream connection whose response is being streamed; null if there is none. */
     private UpstreamConnection streamingUpstream;
-    /** The write of the last response until it is with the kernel, since a close would cut it off; else null. */
+    /** The last response's write until it is with the kernel, since a close would truncate it; null otherwise. */
     private ChannelFuture responseWrite;
-    /** The connection has carried a request. */
+    /** Whether the connection has carried a request. */
     private boolean hasRequests;
-    /** The response that ends the connection after those still owed; nothing behind it is read. Null while none is due. */
+    /** Status of the response that ends the connection after the pending ones; null if none. Discards later input. */
     private HttpResponseStatus finalStatus;
-    /** Bytes that came after {@link #finalStatus} was set. */
+    /** Number of bytes received since {@link #finalStatus} was set. */
     private int discardedBytes;
-    /** The last response is decided: whatever was sent behind its request is no request. */
+    /** Whether the last response is decided; later input is not read as requests. */
     private boolean closingAfterResponse;
 
     ClientConnection(Channel channel, Clock clock, Requests requests, RequestAdmission admission, HttpServer server) {
@@ -84,17 +85,17 @@
         return channel;
     }
 
-    /** When it was last active, and what ends it for that. */
+    /** The timeouts of this connection, which also record when it was last active. */
     ConnectionTimeouts timeouts() {
         return timeouts;
     }
 
-    /** The first handler of its pipeline. */
+    /** The first handler of this connection's channel pipeline. */
     DisconnectCheck disconnectCheck() {
         return disconnectCheck;
     }
 
-    /** The handler before the decoder: notes when bytes come, and discards those behind the last valid request. */
+    /** The handler before the decoder, which records incoming bytes and discards those after the last valid request. */
     ChannelInboundHandler byteHandler() {
         return new ChannelInboundHandlerAdapter() {
             @Override
@@ -117,7 +118,7 @@
             return false;
         }
         long nowMicros = clock.nowMicros();
-        timeouts.active(nowMicros);
+        timeouts.markActive(nowMicros);
         requests.eventHandled();
         if (!assembler.isReading()) {
             assembler.startReading(nowMicros, requests.maxUnreadMicros());
@@ -139,7 +140,7 @@
             readBodyPart(part);
         } else if (finalStatus == null && !closingAfterResponse) {
             if (!part.decoderResult().isSuccess()) {
-                endWith(HttpResponseStatus.BAD_REQUEST);
+                respondAndClose(HttpResponseStatus.BAD_REQUEST);
                 return;
             }
             if (part instanceof HttpRequest request) {
@@ -154,19 +155,19 @@
     private void begin(HttpRequest request) {
         HttpResponseStatus rejection = RequestAssembler.rejectionOf(request);
         if (rejection != null) {
-            endWith(rejection);
+            respondAndClose(rejection);
             return;
         }
-        // Before an owed response the interim one would be taken for that; without it the client sends its body
-        // all the same, after a while.
-        if (HttpUtil.is100ContinueExpected(request) && owesNothing()) {
+        // Sent while a response is pending, the interim response would be taken for that one. Without it the client
+        // sends its body anyway, after a timeout.
+        if (HttpUtil.is100ContinueExpected(request) && hasNoPendingResponse()) {
             channel.writeAndFlush(HttpMessages.continueResponse());
         }
         assembler.begin(request);
     }
 
     private void add(HttpContent content) {
-        PendingRequest request = assembler.add(content, timeouts.activeMicros());
+        PendingRequest request = assembler.add(content, timeouts.lastActiveMicros());
         if (request != null) {
             server.requestArrived(hasRequests);
             hasRequests = true;
@@ -191,7 +192,8 @@
 
     private void bodyComplete(RequestBodyForwarder body) {
         if (closingAfterResponse) {
-            // The response was written before the body's end; now that the body is read the close is no reset.
+            // The response was written before the end of the body. A close with unread input would reset the client, so
+            // it had to wait until now.
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         } else if (body == currentBody && current != null) {
             long deadlineMicros = current.deadlineAfter(body.completeAtMicros());
@@ -201,17 +203,17 @@
             }
         }
         if (body.hasHeldLastPiece()) {
-            endingBody = body;
+            completedBody = body;
             hasPendingWork = true;
         }
     }
 
-    /** By now {@link #disconnectCheck} has looked: requests are admitted, and the end of a large body is forwarded. */
+    /** Handles requests and forwards the end of a large body, after {@link #disconnectCheck} has emptied the socket. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (endingBody != null) {
-            RequestBodyForwarder body = endingBody;
-            endingBody = null;
+        if (completedBody != null) {
+            RequestBodyForwarder body = completedBody;
+            completedBody = null;
             if (channel.isActive()) {
                 body.sendLastPiece();
             }
@@ -223,7 +225,7 @@
         context.fireChannelReadComplete();
     }
 
-    /** The rest of the large body being read will not come: its request fails, and the connection ends. */
+    /** Fails the request whose large body is being read and will not become complete, and ends the connection. */
     void abandonBody(HttpResponseStatus status) {
         RequestBodyForwarder body = assembler.abandonLargeBody();
         if (closingAfterResponse) {
@@ -239,10 +241,10 @@
             pipeline.drop(body);
         }
         body.abort();
-        endWith(status);
+        respondAndClose(status);
     }
 
-    /** Reads on only while there is a use for what would be read. */
+    /** Turns reading off while there is no capacity for more input or no use for it. */
     private void updateAutoRead() {
         boolean reads;
         if (finalStatus != null) {
@@ -255,8 +257,8 @@
         channel.config().setAutoRead(reads);
     }
 
-    /** Sends the responses that are due, then this one, and closes: no later bytes can be attributed to a request. */
-    void endWith(HttpResponseStatus status) {
+    /** Closes the connection after the pending responses and this one: later bytes can't be attributed to a request. */
+    void respondAndClose(HttpResponseStatus status) {
         if (finalStatus == null) {
             finalStatus = status;
             updateAutoRead();
@@ -277,8 +279,8 @@
             try {
                 handle(pending);
             } catch (RuntimeException cause) {
-                // Any defect in handling one request: the connection's other requests are served.
-                Log.fault("a handler failed", cause);
+                // A defect in the handling of one request must not affect the connection's other requests.
+                Log.fault("handling an HTTP request failed", cause);
                 if (busy) {
                     respond(pending.message(), HttpResponseStatus.INTERNAL_SERVER_ERROR);
                 }
@@ -313,7 +315,7 @@
             return;
         }
         current = admitted;
-        server.requestAccepted();
+        server.requestAdmitted();
         requests.admit(admitted.exchange());
     }
 
@@ -321,18 +323,18 @@
         respond(HttpUtil.isKeepAlive(request), status, Unpooled.EMPTY_BUFFER, 0);
     }
 
-    /** Responds to the request being handled; takes the body over. Retry-After is in microseconds, 0 for none. */
+    /** Responds to the request being handled; takes ownership of {@code body}. Without a Retry-After that time is 0. */
     void respond(boolean keepAlive, HttpResponseStatus status, ByteBuf body, long retryAfterMicros) {
-        boolean keepsOpen = keepAlive && !closesBetweenResponses() && assembler.largeBody() == null;
+        boolean keepsOpen = keepAlive && !shouldCloseAfterResponse() && assembler.largeBody() == null;
         responseWritten(
                 keepsOpen, channel.writeAndFlush(HttpMessages.response(status, body, retryAfterMicros, keepsOpen)));
     }
 
-    /** The end of a response was written: the next request is handled, or the connection closed behind it. */
+    /** Handles the next request or closes the connection, now that the end of a response was written. */
     void responseWritten(boolean keepsOpen, ChannelFuture written) {
         current = null;
         busy = false;
-        timeouts.active(clock.nowMicros());
+        timeouts.markActive(clock.nowMicros());
         responseWrite = written;
         written.addListener(f -> {
             if (responseWrite == written) {
@@ -344,7 +346,7 @@
             currentBody = null;
         }
         if (keepsOpen) {
-            // Not from here: the response may come while the request before it is still being handled.
+            // Deferred, because a response may be written while handleNext() is still handling its request.
             if (!pipeline.isEmpty() || finalStatus != null) {
                 channel.eventLoop().execute(this::handleNext);
             }
@@ -353,29 +355,29 @@
             if (assembler.largeBody() == null) {
                 written.addListener(ChannelFutureListener.CLOSE);
             } else {
-                // Closed with a part of its body unread, the client would be reset and never see the response.
+                // A close while a part of the body is unread would reset the client, which could lose the response.
                 assembler.largeBody().discard();
                 updateAutoRead();
             }
         }
     }
 
-    /** The last response is with the kernel, or will not be read: the connection idles from now on. */
+    /** Records that the last response is with the kernel, or will never be read; from now on the connection is idle. */
     void responseDelivered() {
         responseWrite = null;
-        timeouts.active(clock.nowMicros());
+        timeouts.markActive(clock.nowMicros());
     }
 
     boolean isWritingResponse() {
         return responseWrite != null;
     }
 
-    /** The response of this upstream is being streamed from now on; null ends it. */
+    /** Sets the upstream connection whose response is streamed from now on; null at the end of the stream. */
     void streamingFrom(UpstreamConnection upstream) {
         streamingUpstream = upstream;
     }
 
-    /** The rest of a streamed response will not come, and the connection is about to be reset. */
+    /** Forgets the current exchange: its streamed response was truncated, and the connection is about to be reset. */
     void streamAborted() {
         streamingUpstream = null;
         current = null;
@@ -389,12 +391,12 @@
         context.fireChannelWritabilityChanged();
     }
 
-    /** Whether the server drains, and no further request of this client has come: pipelined ones are owed a response. */
-    boolean closesBetweenResponses() {
+    /** Whether the server drains and no further request of this client was received, all of which need a response. */
+    boolean shouldCloseAfterResponse() {
         return server.isClosingConnections() && pipeline.isEmpty() && !assembler.isReading();
     }
 
-    /** The response being written is the last one. */
+    /** Marks the response being written as the last one. */
     void closeAfterResponse() {
         closingAfterResponse = true;
     }
@@ -403,22 +405,23 @@
         return closingAfterResponse;
     }
 
-    /** Whether the connection is between requests: no response is owed or unsent, and no part of a request has come. */
-    boolean isQuiet() {
-        return owesNothing() && !assembler.isReading() && responseWrite == null;
+    /** Whether the connection is between requests: no response is pending or unsent, no request partly received. */
+    boolean isIdle() {
+        return hasNoPendingResponse() && !assembler.isReading() && responseWrite == null;
     }
 
-    boolean owesNothing() {
+    /** Whether no request is being handled or waiting. */
+    boolean hasNoPendingResponse() {
         return !busy && pipeline.isEmpty();
     }
 
-    /** Whether it has carried a request. */
+    /** Whether the connection has carried a request. */
     boolean hasRequests() {
         return hasRequests;
     }
 
-    /** Whether it ends after the responses that are owed. */
-    boolean isEnding() {
+    /** Whether the connection will be closed after the pending responses. */
+    boolean hasFinalStatus() {
         return finalStatus != null;
     }
 
@@ -444,16 +447,16 @@
         currentBody = null;
     }
 
-    /** Noise and bodies without end get a response where one can still be given. */
+    /** Responds to invalid HTTP and to oversized messages with an error status, if a response is still possible. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            endWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            respondAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (cause instanceof CodecException) {
-            endWith(HttpResponseStatus.BAD_REQUEST);
+            respondAndClose(HttpResponseStatus.BAD_REQUEST);
         } else {
             if (!(cause instanceof IOException)) {
-                Log.fault("a client's connection failed", cause);
+                Log.fault("client connection failed", cause);
             }
             context.close();
         }
--- a/src/main/java/loadbalancer/http1/ClientExchange.java
+++ b/src/main/java/loadbalancer/http1/ClientExchange.java
@@ -10,42 +10,42 @@
 import loadbalancer.trace.SpanContext;
 import loadbalancer.trace.Trace;
 
-/** An admitted request of a client's connection: makes its attempts and gives the client its response. */
+/** An admitted request of a client connection: creates its attempts and sends the response to the client. */
 final class ClientExchange implements Exchange.Responder, Attempt.Factory {
     private final ClientConnection connection;
     private final Upstreams upstreams;
     private final OutgoingRequest outgoing;
-    /** Null where the body is in the outgoing request. */
+    /** Null if the body is in the outgoing request. */
     private final RequestBodyForwarder largeBody;
-    /** Null where requests are not traced. */
+    /** Null if requests are not traced. */
     private final Trace trace;
 
-    private final long patienceMicros;
+    private final long responseTimeoutMicros;
     private final boolean keepAlive;
-    private final boolean clientReadsChunks;
+    private final boolean clientSupportsChunked;
     private Exchange exchange;
-    /** The latest attempt of a request with a large body; else null. */
+    /** The latest attempt of a request with a large body; null otherwise. */
     private UpstreamCall bodyCall;
 
-    /** {@code patienceMicros}: time for the response, from the request's last byte. {@code trace}: null for none. */
+    /** {@code responseTimeoutMicros} counts from the request's last byte; {@code trace} is null if not traced. */
     ClientExchange(
             ClientConnection connection,
             Upstreams upstreams,
             PendingRequest pending,
             OutgoingRequest outgoing,
             Trace trace,
-            long patienceMicros) {
+            long responseTimeoutMicros) {
         this.connection = connection;
         this.upstreams = upstreams;
         this.outgoing = outgoing;
         this.trace = trace;
-        this.patienceMicros = patienceMicros;
+        this.responseTimeoutMicros = responseTimeoutMicros;
         largeBody = pending.largeBody();
         keepAlive = HttpUtil.isKeepAlive(pending.message());
-        clientReadsChunks = pending.message().protocolVersion().minorVersion() > 0;
+        clientSupportsChunked = pending.message().protocolVersion().minorVersion() > 0;
     }
 
-    /** Creates the exchange; called once, before all else. */
+    /** Creates the exchange; called once, before all other methods. */
     void begin(Request request, long deadlineMicros) {
         exchange = new Exchange(request, deadlineMicros, this, this, trace);
     }
@@ -54,25 +54,25 @@
         return exchange;
     }
 
-    /** The last byte of the large body came at this time. Returns the request's deadline. */
+    /** Deadline of a request whose large body was complete at {@code completeAtMicros}. */
     long deadlineAfter(long completeAtMicros) {
-        return completeAtMicros + patienceMicros;
+        return completeAtMicros + responseTimeoutMicros;
     }
 
-    /** The latest attempt of a request with a large body; else null. */
+    /** The latest attempt of a request with a large body; null otherwise. */
     UpstreamCall bodyCall() {
         return bodyCall;
     }
 
     @Override
-    public Attempt create(String upstream, long untilMicros, Attempt.Listener listener) {
+    public Attempt create(String upstream, long deadlineMicros, Attempt.Listener listener) {
         SpanContext span = trace == null ? null : trace.latestAttemptContext();
         UpstreamCall call = upstreams.newCall(
                 upstream,
-                untilMicros,
+                deadlineMicros,
                 waitMicros -> outgoing.toMessage(waitMicros, span),
                 listener,
-                new StreamedResponse(connection, keepAlive, clientReadsChunks),
+                new StreamedResponse(connection, keepAlive, clientSupportsChunked),
                 largeBody);
         bodyCall = largeBody == null ? null : call;
         return call;
--- a/src/main/java/loadbalancer/http1/ConnectionPool.java
+++ b/src/main/java/loadbalancer/http1/ConnectionPool.java
@@ -6,7 +6,7 @@
 import java.util.Collection;
 import loadbalancer.core.Clock;
 
-/** The connections to all upstreams: opens them up to a limit, keeps idle ones for reuse and closes old ones. */
+/** Connections to all upstreams: opens them up to a limit, keeps idle ones for reuse and closes expired ones. */
 final class ConnectionPool {
     private final Clock clock;
     private final Bootstrap bootstrap;
@@ -15,7 +15,7 @@
     private final Collection<UpstreamTarget> targets;
     private int openConnections;
 
-    /** {@code targets} is a live view of the targets whose idle connections it manages. */
+    /** {@code targets} is a live view of the upstreams whose idle connections the pool manages. */
     ConnectionPool(
             Clock clock,
             Bootstrap bootstrap,
@@ -29,12 +29,12 @@
         this.targets = targets;
     }
 
-    /** Connections that are open or being opened. */
+    /** Number of connections that are open or being opened. */
     int openConnections() {
         return openConnections;
     }
 
-    /** An idle connection that can be used now; null where there is none. */
+    /** Removes and returns a usable idle connection; null if there is none. */
     Channel takeIdle(UpstreamTarget target, long nowMicros) {
         for (Channel channel; (channel = target.idleChannels().pollFirst()) != null; ) {
             if (isUsable(channel, nowMicros)) {
@@ -45,18 +45,18 @@
         return null;
     }
 
-    /** Whether another connection may be opened, if need be in place of the longest idle one, which is closed. */
+    /** Returns whether another connection may be opened. At the limit, closes the longest idle one to make room. */
     boolean makeCapacity() {
         return openConnections < maxConnections || closeLongestIdle();
     }
 
-    /** Opens a connection; {@link #makeCapacity} has allowed it. */
+    /** Opens a connection. Requires {@link #makeCapacity}. */
     ChannelFuture open(UpstreamTarget target) {
         openConnections++;
         ChannelFuture connecting = bootstrap.connect(target.address());
         Channel channel = connecting.channel();
         connecting.addListener(f -> {
-            // A channel that could not even be opened, without descriptors, never closes: it must not count for ever.
+            // Without free file descriptors the channel is never opened and never closes, but must not count for ever.
             if (f.isSuccess()) {
                 channel.closeFuture().addListener(closed -> openConnections--);
             } else {
@@ -66,7 +66,7 @@
         return connecting;
     }
 
-    /** Takes a connection back, if its target is still to be used. */
+    /** Keeps a connection for reuse if it is reusable and its upstream still accepts requests; closes it otherwise. */
     void release(UpstreamTarget target, Channel channel, boolean reusable) {
         if (target.isReady() && reusable) {
             UpstreamConnection.of(channel).idleSince(clock.nowMicros());
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Closes idle connections that may not be used any more. */
+    /** Closes idle connections that are no longer usable. */
     void closeExpired() {
         long nowMicros = clock.nowMicros();
         for (UpstreamTarget target : targets) {
--- a/src/main/java/loadbalancer/http1/Connector.java
+++ b/src/main/java/loadbalancer/http1/Connector.java
@@ -12,14 +12,14 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Sets up outgoing connections on the event loop, without DNS. */
+/** Creates bootstraps for outgoing connections on the event loop, without DNS. */
 public final class Connector {
     private Connector() {}
 
     /**
-     * For HTTP/1.1 connections. Each gets its own handler, which sees complete responses.
+     * A bootstrap for HTTP/1.1 connections, each with its own handler, which receives complete responses.
      *
-     * @param maxBodyBytes longer responses fail in the handler
+     * @param maxBodyBytes limit on response bodies; longer ones raise an exception in the handler
      */
     public static Bootstrap httpBootstrap(
             EventLoop loop, int connectTimeoutMillis, int maxBodyBytes, Supplier<ChannelHandler> handler) {
@@ -27,7 +27,7 @@
                 .addLast(new HttpClientCodec(), new HttpObjectAggregator(maxBodyBytes), handler.get()));
     }
 
-    /** For TCP connections; {@code initializer} adds the handlers of each. */
+    /** A bootstrap for TCP connections; {@code initializer} adds the handlers of each. */
     public static Bootstrap tcpBootstrap(EventLoop loop, int connectTimeoutMillis, Consumer<Channel> initializer) {
         return new Bootstrap()
                 .group(loop)
--- a/src/main/java/loadbalancer/http1/DrainingListener.java
+++ b/src/main/java/loadbalancer/http1/DrainingListener.java
@@ -8,15 +8,16 @@
 /**
  * A listen socket that can be closed without losing clients in the kernel's accept queue, which a plain close resets.
  *
- * <p>While a selector knows the channel, {@code close} leaves the descriptor open until the next selection, and clients
- * that connect meanwhile are lost. So the channel leaves the selector first, then the queue is accepted, then it closes.
+ * <p>While a channel is registered with a selector, {@code close} leaves the descriptor open until the next selection,
+ * and clients that connect meanwhile are lost. Therefore the channel is deregistered first, then the queue is accepted,
+ * then the channel is closed.
  */
 final class DrainingListener extends NioServerSocketChannel {
     private static final long RECHECK_MILLIS = 1;
 
     private boolean draining;
 
-    /** Accepts all queued connections and closes; only a client that connects within microseconds in between is lost. */
+    /** Accepts all queued connections and closes; loses only clients that connect in the microseconds in between. */
     void drainAndClose() {
         if (!draining && isOpen()) {
             draining = true;
@@ -35,7 +36,7 @@
                 // until the queue is empty
             }
         } catch (Exception exception) {
-            // Netty declares no narrower type; it is handled as in Netty's own accept loop.
+            // doReadMessages() declares Exception; handled as in Netty's own accept loop.
             pipeline().fireExceptionCaught(exception);
         }
         close();
--- a/src/main/java/loadbalancer/http1/Framing.java
+++ b/src/main/java/loadbalancer/http1/Framing.java
@@ -1,25 +1,25 @@
 package loadbalancer.http1;
 
-/** Framing rules stricter than the library's, for both sides: what two readers may read differently is rejected. */
+/** Framing rules stricter than Netty's, for requests and responses, which reject ambiguous messages. */
 final class Framing {
     private Framing() {}
 
     /**
-     * For a length beside a transfer encoding (RFC 9112, 6.1). Netty would drop the length, and a body could hide a
-     * message or end where its sender's does not.
+     * The error for a Content-Length together with a Transfer-Encoding (RFC 9112, 6.1). Netty would ignore the length,
+     * so a body could hide a message, or end elsewhere than the sender meant.
      */
     static IllegalArgumentException ambiguousLength() {
-        return new IllegalArgumentException("a length beside a transfer encoding");
+        return new IllegalArgumentException("message has both Content-Length and Transfer-Encoding");
     }
 
     /**
-     * Requires that a header line has a name directly followed by a colon, which Netty does not.
+     * Requires that a header line has a name directly followed by a colon, which Netty does not require.
      *
-     * @throws IllegalArgumentException where it has none
+     * @throws IllegalArgumentException if it has none
      */
     static void requireHeaderName(byte[] line, int start, int length) {
         if (length == 0 || start + length >= line.length || line[start + length] != ':') {
-            throw new IllegalArgumentException("a header line without a name");
+            throw new IllegalArgumentException("header line does not start with a name and a colon");
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/HealthCheck.java
+++ b/src/main/java/loadbalancer/http1/HealthCheck.java
@@ -19,13 +19,13 @@
 import loadbalancer.membership.EndpointEvidence;
 
 /**
- * Finds out what listens at an address that discovery has not confirmed. It uses a connection of its own, closed
- * afterwards, so that whatever listens there never gets a request or a connection that serves.
+ * Checks what listens at an address that discovery has not confirmed. Each check opens a connection of its own and
+ * closes it afterwards, so that an unconfirmed process never gets a client's request or a pooled connection.
  */
 public final class HealthCheck {
-    /** Path at which an upstream responds with its load report. */
+    /** Path of an upstream's load report. */
     static final String LOAD_REPORT_PATH = "/stats";
-    /** Path at which an upstream only responds that it is alive. */
+    /** Path of an upstream's liveness check, which reports no load. */
     static final String LIVENESS_PATH = "/health/live";
 
     private static final int MAX_BODY_BYTES = 4096;
@@ -37,7 +37,7 @@
     private final long timeoutMillis;
     private final Bootstrap bootstrap;
 
-    /** Checks that take up to {@code timeoutMillis} each. */
+    /** Creates a health check; each check takes up to {@code timeoutMillis}. */
     public HealthCheck(EventLoop loop, Mode mode, long timeoutMillis) {
         this.loop = loop;
         this.mode = mode;
@@ -45,30 +45,30 @@
         bootstrap = Connector.httpBootstrap(loop, (int) timeoutMillis, MAX_BODY_BYTES, Handler::new);
     }
 
-    /** What is requested of an upstream. */
+    /** The request that a check makes. */
     public enum Mode {
-        /** Its load report. */
+        /** Requests the load report. */
         LOAD_REPORT,
-        /** That it is alive. */
+        /** Requests the liveness path. */
         LIVENESS,
-        /** Nothing but a connection: the site allows no health checks. */
+        /** Only opens a connection, for sites that allow no health checks. */
         CONNECT
     }
 
-    /** Checks an address; {@code onResult} runs once, on the loop, within the timeout. */
+    /** Checks an address; {@code onResult} runs once, on the event loop, within the timeout. */
     public void check(InetSocketAddress address, Consumer<EndpointEvidence> onResult) {
         ChannelFuture connecting = bootstrap.connect(address);
         Channel channel = connecting.channel();
         PendingResult pending = new PendingResult(channel, onResult);
-        loop.schedule(() -> pending.settle(EndpointEvidence.NO_RESPONSE), timeoutMillis, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> pending.complete(EndpointEvidence.NO_RESPONSE), timeoutMillis, TimeUnit.MILLISECONDS);
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
-                pending.settle(
+                pending.complete(
                         f.cause() instanceof ConnectTimeoutException
                                 ? EndpointEvidence.NO_RESPONSE
                                 : EndpointEvidence.REFUSES_CONNECTIONS);
             } else if (mode == Mode.CONNECT) {
-                pending.settle(EndpointEvidence.ACCEPTS_CONNECTIONS);
+                pending.complete(EndpointEvidence.ACCEPTS_CONNECTIONS);
             } else {
                 channel.pipeline().get(Handler.class).pending = pending;
                 channel.writeAndFlush(request());
@@ -83,20 +83,20 @@
         return request;
     }
 
-    /** Calls back once, and closes the connection. */
+    /** Reports the result once and closes the connection. */
     private static final class PendingResult {
         private final Channel channel;
         private final Consumer<EndpointEvidence> onResult;
-        private boolean settled;
+        private boolean completed;
 
         PendingResult(Channel channel, Consumer<EndpointEvidence> onResult) {
             this.channel = channel;
             this.onResult = onResult;
         }
 
-        void settle(EndpointEvidence evidence) {
-            if (!settled) {
-                settled = true;
+        void complete(EndpointEvidence evidence) {
+            if (!completed) {
+                completed = true;
                 channel.close();
                 onResult.accept(evidence);
             }
@@ -104,7 +104,7 @@
     }
 
     private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
-        /** Null until the connection is up. */
+        /** Null until the connection is established. */
         private PendingResult pending;
 
         @Override
@@ -113,12 +113,14 @@
                 context.close();
                 return;
             }
-            pending.settle(
-                    isUpstreams(response) ? EndpointEvidence.RESPONDS_AS_UPSTREAM : EndpointEvidence.NOT_AN_UPSTREAM);
+            pending.complete(
+                    isUpstreamResponse(response)
+                            ? EndpointEvidence.RESPONDS_AS_UPSTREAM
+                            : EndpointEvidence.NOT_AN_UPSTREAM);
         }
 
-        /** An upstream that is draining or full responds with 503. */
-        private boolean isUpstreams(FullHttpResponse response) {
+        /** Whether the response is an upstream's. One that is draining or overloaded responds with 503. */
+        private boolean isUpstreamResponse(FullHttpResponse response) {
             int code = response.decoderResult().isSuccess() ? response.status().code() : 0;
             boolean reported = mode != Mode.LOAD_REPORT
                     || code == SERVICE_UNAVAILABLE
@@ -138,7 +140,7 @@
 
         private void fail(ChannelHandlerContext context) {
             if (pending != null) {
-                pending.settle(EndpointEvidence.NOT_AN_UPSTREAM);
+                pending.complete(EndpointEvidence.NOT_AN_UPSTREAM);
             }
             context.close();
         }
--- a/src/main/java/loadbalancer/http1/HttpMessages.java
+++ b/src/main/java/loadbalancer/http1/HttpMessages.java
@@ -17,25 +17,25 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Locale;
 
-/** Builds this program's own messages. */
+/** Builds the HTTP messages that the sidecar sends. */
 final class HttpMessages {
-    /** Headers without validation: each value was validated when it was received, or is a number. */
+    /** Creates headers without validation, as each value was validated when received or is a number. */
     static final HttpHeadersFactory UNVALIDATED =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
     private HttpMessages() {}
 
-    /** A request without a header, to which the body belongs. */
+    /** A request without headers. Takes ownership of the body. */
     static FullHttpRequest request(HttpMethod method, String uri, ByteBuf body) {
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, body, UNVALIDATED, UNVALIDATED);
     }
 
-    /** An interim response that asks a client for the body. */
+    /** The interim response that asks a client to send the body. */
     static FullHttpResponse continueResponse() {
         return fullResponse(HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER);
     }
 
-    /** A complete response; Retry-After is in microseconds, 0 for none. */
+    /** A complete response. Takes ownership of the body; {@code retryAfterMicros} is 0 for no Retry-After. */
     static FullHttpResponse response(
             HttpResponseStatus status, ByteBuf body, long retryAfterMicros, boolean keepsOpen) {
         FullHttpResponse response = fullResponse(status, body);
@@ -50,7 +50,7 @@
         return response;
     }
 
-    /** The head of a streamed response. With neither a length (-1) nor chunks, the connection's end ends the body. */
+    /** The head of a streamed response. Without a length (-1) and chunks, the end of the connection ends the body. */
     static HttpResponse streamHead(long lengthBytes, boolean chunked, boolean keepsOpen) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, UNVALIDATED);
         if (lengthBytes >= 0) {
--- a/src/main/java/loadbalancer/http1/HttpServer.java
+++ b/src/main/java/loadbalancer/http1/HttpServer.java
@@ -18,26 +18,26 @@
 import loadbalancer.core.Requests;
 
 /**
- * The application's side: accepts its connections, bounds their number, and shuts down gracefully without losing what
- * clients have sent.
+ * Accepts the application's HTTP/1.1 connections, limits their number, and shuts down gracefully, without losing
+ * requests that clients have sent.
  */
 public final class HttpServer {
-    /** The application opens connections until this long after it has asked for the stop. */
-    private static final long SERVE_ON_MILLIS = 600;
-    /** An application that still opens connections this long after that doesn't know of the stop. */
-    private static final long LISTEN_ON_MILLIS = 1_000;
-    /** A connection that was active so recently may have a request on its way. */
-    private static final long QUIET_MILLIS = 150;
+    /** Time after a stop request during which the application may still open connections. */
+    private static final long STOP_GRACE_MILLIS = 600;
+    /** Time beyond {@link #STOP_GRACE_MILLIS} after which the listener is closed even if connections still arrive. */
+    private static final long MAX_LISTEN_OVERRUN_MILLIS = 1_000;
+    /** A connection that was active within this time may have a request in transit and is not closed. */
+    private static final long QUIET_PERIOD_MILLIS = 150;
 
     private static final long STOP_CHECK_MILLIS = 20;
     private static final long SWEEP_MILLIS = 100;
     private static final int BACKLOG = 256;
-    /** Step of the moving mean of reuse: some fifty requests show how an application uses its connections. */
+    /** Smoothing factor of {@link #reuseFraction}, which averages over about 50 requests. */
     private static final double REUSE_GAIN = 0.02;
-    /** Lower bound of the idle limit: a connection's next request may be on its way. */
+    /** Lower bound of the idle limit, because the next request may be in transit. */
     private static final long MIN_IDLE_MICROS = 250_000;
-    /** A connection may be closed to make capacity after this time: its first request may be on its way. */
-    private static final long FRESH_MICROS = 50_000;
+    /** Idle time before a connection may be closed to make room, because its first request may be in transit. */
+    private static final long MIN_EVICTION_IDLE_MICROS = 50_000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -48,24 +48,24 @@
     private final RequestAdmission admission;
     private final BufferBudget budget = new BufferBudget();
     private final Set<ClientConnection> connections = new HashSet<>();
-    /** Null while another process of this sidecar listens alone. */
+    /** Null until {@link #listen}, which the new process of an upgrade calls only after its warm-up. */
     private DrainingListener listener;
     /** Null except during the warm-up. */
     private Runnable earlyRequestHook;
 
     private long lastAcceptMicros;
-    /** Since when clients are asked to leave; 0 while in service. */
+    /** Time at which the server was taken out of service; 0 while it is in service. */
     private long outOfServiceSinceMicros;
-    /** Until when a stopping server expects new connections; 0 while not stopping. */
+    /** Time until which a stopping server expects new connections; 0 if it is not stopping. */
     private long stopAtMicros;
-    /** Moving mean of the fraction of requests that came on connections which had carried one before. */
+    /** Moving average of the fraction of requests that were not the first on their connection. */
     private double reuseFraction = 1;
 
     /**
-     * A server that doesn't listen yet.
+     * Creates a server that doesn't listen yet.
      *
-     * @param canServe       whether it is ready as far as upstreams are concerned
-     * @param maxConnections further clients wait in the kernel's backlog
+     * @param canServe       whether there are upstreams that accept requests
+     * @param maxConnections limit on open connections; further clients wait in the kernel's backlog
      */
     public HttpServer(
             EventLoop loop,
@@ -85,41 +85,42 @@
     }
 
     /**
-     * Listens; blocks until the socket is bound. Returns its address.
+     * Starts listening and returns the bound address. Blocks until the socket is bound.
      *
-     * @param shared whether another process of this sidecar may listen there too
+     * @param shared whether another process of this sidecar may listen on the address too
      * @throws InterruptedException if the thread is interrupted while it waits
      */
     public InetSocketAddress listen(InetSocketAddress address, boolean shared) throws InterruptedException {
         listener = (DrainingListener)
-                ListenSocket.bindTcp(loop, DrainingListener::new, BACKLOG, shared, address, this::accepted);
+                ListenSocket.bindTcp(loop, DrainingListener::new, BACKLOG, shared, address, this::onAccept);
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
         return listener.localAddress();
     }
 
-    /** Not ready from now on; {@code onEarlyRequest} runs on each request that is admitted all the same. */
+    /** Reports not ready from now on; {@code onEarlyRequest} runs for each request that is admitted nevertheless. */
     public void startWarmUp(Runnable onEarlyRequest) {
         earlyRequestHook = onEarlyRequest;
     }
 
-    /** The warm-up is over. */
+    /** Ends the warm-up. */
     public void endWarmUp() {
         earlyRequestHook = null;
     }
 
-    /** Whether the application may send requests. */
+    /** Whether the server is ready for the application's requests. */
     public boolean isReady() {
         return !isStopping() && outOfServiceSinceMicros == 0 && earlyRequestHook == null && canServe.getAsBoolean();
     }
 
-    /** Whether a stop has been asked for. */
+    /** Whether {@link #stop} or {@link #handOver} was called. */
     public boolean isStopping() {
         return stopAtMicros > 0;
     }
 
     /**
-     * Takes it out of service, or back. Out of service it answers what is in flight, closes quiet connections, and ends
-     * each new one with its first response. It goes on listening: readiness checks are to get an answer.
+     * Takes the server out of service, or back. Out of service it answers requests in flight, closes idle connections,
+     * and closes each new connection after its first response. It keeps listening so that readiness checks get a
+     * response.
      */
     public void setOutOfService(boolean out) {
         if (!out) {
@@ -129,15 +130,18 @@
         }
     }
 
-    /** Serves on while the application still connects, answers what is in flight, closes connections, then calls back. */
+    /**
+     * Keeps serving while the application may still open connections, answers requests in flight and closes all
+     * connections, then runs {@code onStopped}.
+     */
     public void stop(Runnable onStopped) {
-        stopAtMicros = clock.nowMicros() + SERVE_ON_MILLIS * 1000;
+        stopAtMicros = clock.nowMicros() + STOP_GRACE_MILLIS * 1000;
         continueStop(onStopped);
     }
 
     /**
-     * As {@link #stop}, but accepts no new connection from now on: another process does. Connections in use end with a
-     * response; only those that stay quiet are closed, since a close may cross a request.
+     * As {@link #stop}, but accepts no new connections from now on, since another process does. Connections in use are
+     * closed after a response; others only after a quiet period, because a request may be in transit during a close.
      */
     public void handOver(Runnable onStopped) {
         if (listener != null) {
@@ -146,39 +150,40 @@
         stop(onStopped);
     }
 
-    /** What clients' connections hold together. */
+    /** The memory budget that all client connections share. */
     BufferBudget budget() {
         return budget;
     }
 
     /**
-     * The part of an idle time limit that applies now: less with more connections, and less the less connections are
-     * reused. An application that leaves connections unused has a limit of its own on them and stalls at that.
+     * Scales an idle limit down with the number of open connections and with the fraction of requests that don't reuse
+     * a connection. An application that leaves connections unused has its own limit on them and stalls when it reaches
+     * that.
      */
     long idleLimitMicros(long limitMicros) {
         int freeConnections = maxConnections - connections.size();
         return Math.max(MIN_IDLE_MICROS, (long) (limitMicros * reuseFraction * freeConnections / maxConnections));
     }
 
-    /** A request has come; {@code reused}: not the first on its connection. */
+    /** Records a request; {@code reused} is whether it is not the first on its connection. */
     void requestArrived(boolean reused) {
         reuseFraction += REUSE_GAIN * ((reused ? 1 : 0) - reuseFraction);
     }
 
-    /** A request is being admitted, which ends a warm-up. */
-    void requestAccepted() {
+    /** Records that a request is being admitted, which ends a warm-up. */
+    void requestAdmitted() {
         if (earlyRequestHook != null) {
             earlyRequestHook.run();
         }
     }
 
-    /** Whether connections end with their next response. */
+    /** Whether connections are closed after their next response. */
     boolean isClosingConnections() {
         return isStopping() || outOfServiceSinceMicros > 0;
     }
 
-    private void accepted(Channel channel) {
-        // Not the field: the first clients may be here before listen() has set it.
+    private void onAccept(Channel channel) {
+        // The first clients may connect before listen() has set the listener field, so it can't be used here.
         ChannelConfig accepting = channel.parent().config();
         lastAcceptMicros = clock.nowMicros();
         ClientConnection connection = new ClientConnection(channel, clock, requests, admission, this);
@@ -186,7 +191,7 @@
         if (connections.size() >= maxConnections) {
             closeLongestIdle(lastAcceptMicros);
         }
-        // Further clients wait in the backlog: upstreams need file descriptors too.
+        // Further clients wait in the backlog, as connections to upstreams need file descriptors too.
         accepting.setAutoRead(connections.size() < maxConnections);
         channel.closeFuture().addListener(f -> {
             connections.remove(connection);
@@ -201,33 +206,34 @@
                         connection);
     }
 
-    /** Closes a connection that is between requests: first one that never carried any, then the longest idle one. */
+    /** Closes one idle connection, if there is one: first those that never carried a request, then the longest idle. */
     private void closeLongestIdle(long nowMicros) {
         Optional<ClientConnection> idle = connections.stream()
-                .filter(connection -> connection.timeouts().idleMicros(nowMicros) > FRESH_MICROS)
+                .filter(connection -> connection.timeouts().idleMicros(nowMicros) > MIN_EVICTION_IDLE_MICROS)
                 .min(Comparator.comparing(ClientConnection::hasRequests)
-                        .thenComparing(connection -> connection.timeouts().activeMicros()));
-        idle.ifPresent(connection -> connection.timeouts().closeBetweenRequests());
+                        .thenComparing(connection -> connection.timeouts().lastActiveMicros()));
+        idle.ifPresent(connection -> connection.timeouts().closeIfStillIdle());
     }
 
-    /** Ends connections that take too long: each holds a file descriptor that others need. */
+    /** Closes connections that exceed their timeouts, as each holds a file descriptor that others need. */
     private void sweep() {
         long nowMicros = clock.nowMicros();
         List.copyOf(connections).forEach(connection -> connection.timeouts().check(nowMicros));
         if (connections.size() >= maxConnections) {
             closeLongestIdle(nowMicros);
         }
-        if (outOfServiceSinceMicros > 0 && nowMicros - outOfServiceSinceMicros >= SERVE_ON_MILLIS * 1000) {
-            closeQuiet(nowMicros);
+        if (outOfServiceSinceMicros > 0 && nowMicros - outOfServiceSinceMicros >= STOP_GRACE_MILLIS * 1000) {
+            closeIdleConnections(nowMicros);
         }
     }
 
-    private void closeQuiet(long nowMicros) {
+    private void closeIdleConnections(long nowMicros) {
         for (ClientConnection connection : List.copyOf(connections)) {
             connection
                     .timeouts()
-                    .closeIfQuiet(
-                            nowMicros - QUIET_MILLIS * 1000, nowMicros - classes.longestDeadlineMicros(nowMicros));
+                    .closeIfIdle(
+                            nowMicros - QUIET_PERIOD_MILLIS * 1000,
+                            nowMicros - classes.longestDeadlineMicros(nowMicros));
         }
     }
 
@@ -238,13 +244,13 @@
     private void continueStop(Runnable onStopped) {
         long nowMicros = clock.nowMicros();
         if (nowMicros >= stopAtMicros) {
-            // Closing the listener resets clients that connect meanwhile: only once none has come for a while.
+            // Closing the listener resets clients that are connecting: wait until none has connected for a while.
             if (isListening()
-                    && (nowMicros - lastAcceptMicros >= QUIET_MILLIS * 1000
-                            || nowMicros >= stopAtMicros + LISTEN_ON_MILLIS * 1000)) {
+                    && (nowMicros - lastAcceptMicros >= QUIET_PERIOD_MILLIS * 1000
+                            || nowMicros >= stopAtMicros + MAX_LISTEN_OVERRUN_MILLIS * 1000)) {
                 listener.drainAndClose();
             }
-            closeQuiet(nowMicros);
+            closeIdleConnections(nowMicros);
             if (connections.isEmpty() && !isListening()) {
                 onStopped.run();
                 return;
--- a/src/main/java/loadbalancer/http1/LoadReportParser.java
+++ b/src/main/java/loadbalancer/http1/LoadReportParser.java
@@ -6,12 +6,12 @@
 /** Parses load reports of the form {@code TEXT inflight=7, queue=2, util=0.61}. */
 public final class LoadReportParser {
     private static final String PREFIX = "TEXT ";
-    /** No upstream reports more: a larger value, once believed, would exclude its upstream for good. */
+    /** Largest accepted value. No upstream reports more; a larger value would exclude its upstream for good. */
     private static final double MAX_VALUE = 10_000;
 
     private LoadReportParser() {}
 
-    /** The report; null where the text is null or malformed. */
+    /** Parses a report; returns null if the text is null or malformed. */
     public static LoadReport parse(String text) {
         if (text == null || !text.startsWith(PREFIX)) {
             return null;
--- a/src/main/java/loadbalancer/http1/OutgoingRequest.java
+++ b/src/main/java/loadbalancer/http1/OutgoingRequest.java
@@ -6,13 +6,13 @@
 import loadbalancer.trace.SpanContext;
 
 /**
- * What upstreams get of a client's request. Each text was validated as one token.
+ * The part of a client's request that is sent to upstreams. Each text was validated as one token.
  *
- * @param idempotencyKey null where it has none
- * @param body           empty where the body is large
+ * @param idempotencyKey null if the request has none
+ * @param body           empty if the body is large
  */
 record OutgoingRequest(HttpMethod method, String uri, String id, String idempotencyKey, byte[] body) {
-    /** The message of one attempt, which is waited for so long; {@code span} is the attempt's, null where it is not traced. */
+    /** Creates the message of one attempt; {@code span} is the attempt's span, null if not traced. */
     FullHttpRequest toMessage(long remainingMicros, SpanContext span) {
         FullHttpRequest message = HttpMessages.request(method, uri, Unpooled.wrappedBuffer(body));
         message.headers()
--- a/src/main/java/loadbalancer/http1/PendingRequest.java
+++ b/src/main/java/loadbalancer/http1/PendingRequest.java
@@ -3,13 +3,17 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 
 /**
- * A request that waits for its turn on a client's connection.
+ * A request that waits in the pipeline of a client connection.
  *
- * @param message      without a body where that is large
- * @param largeBody    null where the body is in the message
- * @param sentMicros   when its last byte, or the last so far of a large body, was read
- * @param unreadMicros upper bound on the time for which its first byte waited unread
- * @param bytes        approximate memory that it occupies
+ * @param message         without a body if that is large
+ * @param largeBody       null if the body is in the message
+ * @param lastByteMicros  time at which its last byte was read, or the last one so far of a large body
+ * @param maxUnreadMicros upper bound on the time for which its first byte was in the kernel's buffer
+ * @param bytes           approximate memory that it occupies
  */
 record PendingRequest(
-        FullHttpRequest message, RequestBodyForwarder largeBody, long sentMicros, long unreadMicros, int bytes) {}
+        FullHttpRequest message,
+        RequestBodyForwarder largeBody,
+        long lastByteMicros,
+        long maxUnreadMicros,
+        int bytes) {}
--- a/src/main/java/loadbalancer/http1/RequestAdmission.java
+++ b/src/main/java/loadbalancer/http1/RequestAdmission.java
@@ -17,11 +17,11 @@
 import loadbalancer.trace.Trace;
 import loadbalancer.trace.Tracer;
 
-/** Turns clients' messages into requests of the protocol: binds their class, their deadline and their trace. */
+/** Validates clients' HTTP requests and determines their request class, deadline and trace. */
 final class RequestAdmission {
-    /** A response leaves this long before its client gives up, so that it arrives in time on a busy core. */
+    /** Margin between the deadline and the client's own timeout, so that a response arrives in time on a busy core. */
     private static final long RESPONSE_MARGIN_MICROS = 15_000;
-    /** A large body may take this long to come; the request's own time counts from its last byte. */
+    /** Limit for receiving a large body; the response timeout starts at its last byte. */
     private static final long MAX_BODY_MICROS = 600_000_000;
 
     private final Clock clock;
@@ -36,7 +36,7 @@
         this.classes = classes;
     }
 
-    /** The request as it goes to the balancer and to upstreams; null, and counted as failed, for an invalid message. */
+    /** Returns the request for the balancer and the upstreams; null, and counted as failed, for an invalid message. */
     ClientExchange admit(PendingRequest pending, ClientConnection connection) {
         FullHttpRequest message = pending.message();
         HttpHeaders headers = message.headers();
@@ -44,18 +44,17 @@
         String className = RequestFields.singleToken(headers, HeaderNames.REQUEST_CLASS);
         RequestClass requestClass =
                 classes.bind(clock.nowMicros(), className, candidate -> matchesClass(pending, candidate));
-        long remainingMillis = RequestFields.number(headers, HeaderNames.REMAINING_MILLIS);
+        long remainingMillis = RequestFields.parseNumber(headers, HeaderNames.REMAINING_MILLIS);
         if (id.isEmpty() || requests.contains(id) || requestClass == null || remainingMillis <= 0) {
-            // Answered here: forwarded, it would count as an upstream's failure.
+            // Not forwarded, because it would count as an upstream's failure.
             requests.metrics().requestAnsweredWithoutAdmission(className, RequestOutcome.FAILED);
             return null;
         }
-        // Nobody waits longer than the class allows: a longer time is not believed, or it would hold its request for
-        // days.
+        // Limited to the class's deadline, because a client could otherwise keep its request in flight for days.
         long remainingMicros = Math.min(remainingMillis * 1000, requestClass.deadlineMicros());
-        long patienceMicros = remainingMicros - Math.min(RESPONSE_MARGIN_MICROS, remainingMicros / 4);
+        long responseTimeoutMicros = remainingMicros - Math.min(RESPONSE_MARGIN_MICROS, remainingMicros / 4);
         long sentMicros = sentMicros(pending);
-        long deadlineMicros = sentMicros + patienceMicros;
+        long deadlineMicros = sentMicros + responseTimeoutMicros;
         Request request = request(message, id, requestClass, deadlineMicros);
         OutgoingRequest outgoing = new OutgoingRequest(
                 message.method(),
@@ -63,9 +62,10 @@
                 id,
                 headers.get(HeaderNames.IDEMPOTENCY_KEY),
                 ByteBufUtil.getBytes(message.content()));
-        Trace trace = trace(request, outgoing.idempotencyKey(), headers, sentMicros, pending.unreadMicros());
-        ClientExchange exchange = new ClientExchange(connection, upstreams, pending, outgoing, trace, patienceMicros);
-        exchange.begin(request, isBodyComing(pending) ? sentMicros + MAX_BODY_MICROS : deadlineMicros);
+        Trace trace = trace(request, outgoing.idempotencyKey(), headers, sentMicros, pending.maxUnreadMicros());
+        ClientExchange exchange =
+                new ClientExchange(connection, upstreams, pending, outgoing, trace, responseTimeoutMicros);
+        exchange.begin(request, isBodyIncomplete(pending) ? sentMicros + MAX_BODY_MICROS : deadlineMicros);
         return exchange;
     }
 
@@ -74,15 +74,17 @@
                 && !(pending.largeBody() != null && requestClass.idempotency() == Idempotency.IDEMPOTENT);
     }
 
-    private static boolean isBodyComing(PendingRequest pending) {
+    private static boolean isBodyIncomplete(PendingRequest pending) {
         return pending.largeBody() != null && !pending.largeBody().isComplete();
     }
 
     private long sentMicros(PendingRequest pending) {
         if (pending.largeBody() == null) {
-            return pending.sentMicros();
+            return pending.lastByteMicros();
         }
-        return isBodyComing(pending) ? clock.nowMicros() : pending.largeBody().completeAtMicros();
+        return isBodyIncomplete(pending)
+                ? clock.nowMicros()
+                : pending.largeBody().completeAtMicros();
     }
 
     private Request request(FullHttpRequest message, String id, RequestClass requestClass, long deadlineMicros) {
@@ -92,7 +94,7 @@
                 RequestFields.affinityKey(headers.get(HttpHeaderNames.COOKIE)),
                 "1".equals(headers.get(HeaderNames.RETRIED)),
                 false,
-                Math.max(0, RequestFields.number(headers, HeaderNames.COST_ESTIMATE)),
+                Math.max(0, RequestFields.parseNumber(headers, HeaderNames.COST_ESTIMATE)),
                 Math.max(1, deadlineMicros - clock.nowMicros()),
                 headers.get(HeaderNames.TENANT),
                 requestClass.name(),
@@ -102,7 +104,7 @@
                 requestClass);
     }
 
-    private Trace trace(Request request, String key, HttpHeaders headers, long sentMicros, long unreadMicros) {
+    private Trace trace(Request request, String key, HttpHeaders headers, long sentMicros, long maxUnreadMicros) {
         Tracer tracer = requests.tracer();
         if (tracer == null) {
             return null;
@@ -119,6 +121,6 @@
                         request.retriedByClient(),
                         requestClass.latencyObjectiveMicros(),
                         sentMicros,
-                        unreadMicros));
+                        maxUnreadMicros));
     }
 }
--- a/src/main/java/loadbalancer/http1/RequestAssembler.java
+++ b/src/main/java/loadbalancer/http1/RequestAssembler.java
@@ -18,11 +18,11 @@
 import loadbalancer.core.Clock;
 
 /**
- * Assembles the requests of one client's connection from the decoder's parts. A request is complete with its last byte,
- * or as soon as its body is too large to buffer; the rest of a large body goes to a {@link RequestBodyForwarder}.
+ * Assembles the requests of one client connection from the decoder's message parts. A request is complete with its last
+ * byte, or as soon as its body is too large to buffer; the rest of a large body goes to a {@link RequestBodyForwarder}.
  */
 final class RequestAssembler {
-    /** Approximate memory of a request's own objects beside its bytes. */
+    /** Approximate memory of the objects that represent a request, in addition to its bytes. */
     private static final int REQUEST_OVERHEAD_BYTES = 1024;
 
     private static final int MAX_BODY_COMPONENTS = 1024;
@@ -33,18 +33,18 @@
     private final Runnable onDemandChange;
     /** The request being read; null between requests. */
     private HttpRequest head;
-    /** What has come of its body; null for nothing. */
+    /** The part of its body that has been received; null if there is none. */
     private CompositeByteBuf body;
-    /** The large body being read; null while none is. */
+    /** The large body being read; null if there is none. */
     private RequestBodyForwarder largeBody;
-    /** Bytes received since the last complete request. */
+    /** Bytes received since the previous request was complete. */
     private int receivedBytes;
-    /** When the first byte of the request being read came; 0 between requests. */
+    /** Time at which the first byte of the request being read was received; 0 between requests. */
     private long readingSinceMicros;
-    /** Upper bound on the time for which that byte had waited unread. */
-    private long unreadMicros;
+    /** Upper bound on the time for which that byte was in the kernel's buffer before it was read. */
+    private long maxUnreadMicros;
 
-    /** {@code onDemandChange} runs when a large body may want the connection to be read on, or no longer. */
+    /** {@code onDemandChange} runs when {@link RequestBodyForwarder#wantsMore} of a large body may have changed. */
     RequestAssembler(Clock clock, BufferBudget budget, ByteBufAllocator allocator, Runnable onDemandChange) {
         this.clock = clock;
         this.budget = budget;
@@ -52,10 +52,10 @@
         this.onDemandChange = onDemandChange;
     }
 
-    /** What to respond to a request that can't be read to its end; null where it can. */
+    /** Returns the error status for a request whose body can't be read; null if the body can be read. */
     static HttpResponseStatus rejectionOf(HttpRequest request) {
         List<String> encodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        // The end of any other encoding is unknown here: what follows may be body or the next request.
+        // The end of a body in any other transfer encoding can't be found, so the next request can't be either.
         boolean framed = encodings.isEmpty()
                 || encodings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
         if (!framed) {
@@ -71,47 +71,47 @@
         receivedBytes += bytes;
     }
 
-    /** Whether a part of a request has come, and the rest has not. */
+    /** Whether a request has been received in part. */
     boolean isReading() {
         return readingSinceMicros != 0;
     }
 
-    /** When the first byte of the request being read came; 0 between requests. */
+    /** Time at which the first byte of the request being read was received; 0 between requests. */
     long readingSinceMicros() {
         return readingSinceMicros;
     }
 
-    /** The first byte of a request has come. */
-    void startReading(long nowMicros, long maxUnreadMicros) {
+    /** Records the first byte of a request, which was in the kernel's buffer for at most {@code unreadBoundMicros}. */
+    void startReading(long nowMicros, long unreadBoundMicros) {
         readingSinceMicros = nowMicros;
-        unreadMicros = maxUnreadMicros;
+        maxUnreadMicros = unreadBoundMicros;
     }
 
-    /** Whether the request's head is complete, and its body is not. */
+    /** Whether the head of a request is complete and its body is not. */
     boolean isReadingBody() {
         return head != null;
     }
 
-    /** Buffered bytes of the body being read. */
+    /** Number of buffered bytes of the body being read. */
     int bufferedBytes() {
         return body == null ? 0 : body.readableBytes();
     }
 
-    /** The large body being read; null while none is. */
+    /** The large body being read; null if there is none. */
     RequestBodyForwarder largeBody() {
         return largeBody;
     }
 
-    /** A head has come for which there is no {@link #rejectionOf rejection}. */
+    /** Starts a request whose head was received and has no {@link #rejectionOf rejection}. */
     void begin(HttpRequest request) {
         head = request;
     }
 
     /**
-     * Adds a part of the body, which stays the caller's. Returns the request once it is complete or its body too large
-     * to buffer, else null.
+     * Adds a part of the body, which the caller still releases. Returns the request once it is complete or its body is
+     * too large to buffer, otherwise null.
      *
-     * @param nowMicros when the part was received
+     * @param nowMicros time at which the part was received
      */
     PendingRequest add(HttpContent content, long nowMicros) {
         boolean complete = content instanceof LastHttpContent;
@@ -147,28 +147,28 @@
                 request.headers(),
                 EmptyHttpHeaders.INSTANCE);
         message.setDecoderResult(request.decoderResult());
-        // A client counts its time from its last byte, however long the others took.
-        PendingRequest pending =
-                new PendingRequest(message, largeBody, nowMicros, unreadMicros, receivedBytes + REQUEST_OVERHEAD_BYTES);
+        // A client measures its timeout from its last byte, no matter how long the bytes before took.
+        PendingRequest pending = new PendingRequest(
+                message, largeBody, nowMicros, maxUnreadMicros, receivedBytes + REQUEST_OVERHEAD_BYTES);
         receivedBytes = 0;
         return pending;
     }
 
-    /** The last part of the large body has come. Returns the body. */
+    /** Ends the large body after its last part was received. Returns the body. */
     RequestBodyForwarder endLargeBody() {
         readingSinceMicros = 0;
         receivedBytes = 0;
         return abandonLargeBody();
     }
 
-    /** The rest of the large body will not come. Returns the body; null where none is being read. */
+    /** Ends the large body without the rest of it. Returns the body; null if none is being read. */
     RequestBodyForwarder abandonLargeBody() {
         RequestBodyForwarder ended = largeBody;
         largeBody = null;
         return ended;
     }
 
-    /** Releases the buffered part of a body: the connection is closed. */
+    /** Releases the buffered part of a body after the connection was closed. */
     void release() {
         if (body != null) {
             budget.add(-body.readableBytes());
--- a/src/main/java/loadbalancer/http1/RequestBodyForwarder.java
+++ b/src/main/java/loadbalancer/http1/RequestBodyForwarder.java
@@ -12,42 +12,42 @@
 import loadbalancer.core.Clock;
 
 /**
- * Forwards the body of a large request to an upstream while it comes. Its beginning is held and can be sent to another
- * upstream until a piece behind it has been forwarded; from then on only the attempt that has it can carry the rest.
- * The client is read no faster than the upstream accepts.
+ * Forwards the body of a large request to an upstream while it is received. The beginning is held, and another attempt
+ * can start with it until a later piece has been forwarded; from then on the body is bound to the current attempt. The
+ * client is read no faster than the upstream accepts.
  */
 final class RequestBodyForwarder {
-    /** Read so far ahead while no upstream has the body: a client that is not read can't be seen to leave. */
+    /** Limit on held bytes while there is no attempt. It is generous, as a disconnect is noticed only by reading. */
     private static final int MAX_WAITING_BYTES = 1024 * 1024;
 
     private final Clock clock;
     private final BufferBudget budget;
-    /** Length of the whole body; -1 where only its end tells. */
+    /** Length of the whole body; -1 if unknown. */
     private final long lengthBytes;
-    /** Lets the client's connection decide again whether it reads on. */
+    /** Runs when {@link #wantsMore} may have changed. */
     private final Runnable onDemandChange;
 
     private final ArrayDeque<ByteBuf> heldPieces = new ArrayDeque<>();
     private int heldBytes;
-    /** The last piece, when an upstream has all others, until the client's connection has been checked; else null. */
+    /** The last piece, held after all others were forwarded until the client's connection is checked; else null. */
     private ByteBuf lastPiece;
-    /** Whether the client has sent all of it. */
+    /** Whether the whole body was received. */
     private boolean complete;
 
     private long completeAtMicros;
     private long lastProgressMicros;
-    /** Pieces behind the beginning have been forwarded or discarded. */
+    /** Whether the held beginning was released, because a later piece was forwarded or the body discarded. */
     private boolean partlyForwarded;
-    /** Whether an upstream has been sent the end. */
+    /** Whether the end of the body was written to an upstream. */
     private boolean endWritten;
 
     private boolean discarded;
-    /** The attempt that the body is streamed to; null while there is none. */
+    /** The attempt that the body is streamed to; null if there is none. */
     private UpstreamCall currentCall;
     /** The connection of {@link #currentCall}. */
     private Channel upstreamChannel;
 
-    /** {@code beginning} is taken over. {@code lengthBytes} is -1 where it is unknown. */
+    /** Takes ownership of {@code beginning}; {@code lengthBytes} is -1 if unknown. */
     RequestBodyForwarder(
             Clock clock, BufferBudget budget, long lengthBytes, ByteBuf beginning, Runnable onDemandChange) {
         this.clock = clock;
@@ -58,7 +58,7 @@
         lastProgressMicros = clock.nowMicros();
     }
 
-    /** Takes the next piece over. */
+    /** Holds or forwards the next piece; takes ownership of it. */
     void add(ByteBuf piece, boolean last) {
         lastProgressMicros = clock.nowMicros();
         if (last) {
@@ -79,12 +79,12 @@
         }
     }
 
-    /** Whether the last piece waits for {@link #sendLastPiece}. */
+    /** Whether the last piece is held until {@link #sendLastPiece}. */
     boolean hasHeldLastPiece() {
         return lastPiece != null;
     }
 
-    /** Forwards the last piece: the client is still connected, and from here on the request may be executed. */
+    /** Forwards the last piece, after which the request may be executed. Called while the client is still connected. */
     void sendLastPiece() {
         if (lastPiece != null) {
             upstreamChannel.write(new DefaultHttpContent(lastPiece));
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Whether the client is to be read: the upstream accepts more, more may be held, or the rest is discarded. */
+    /** Whether to read more from the client, because the upstream accepts it, it can be held, or it is discarded. */
     boolean wantsMore() {
         if (discarded) {
             return true;
@@ -111,17 +111,17 @@
         return completeAtMicros;
     }
 
-    /** When a piece last came or went, or an attempt began. */
+    /** Time at which a piece was last received, the upstream became writable again, or an attempt started. */
     long lastProgressMicros() {
         return lastProgressMicros;
     }
 
-    /** Whether an attempt can still carry all of it. */
+    /** Whether a new attempt can start and would get the whole body. */
     boolean canStart() {
         return !partlyForwarded && (complete || currentCall == null);
     }
 
-    /** Sends the head and what is held; the rest follows as it comes. Requires {@link #canStart}. */
+    /** Sends the head and the held pieces; later pieces are forwarded as received. Requires {@link #canStart}. */
     void start(UpstreamCall call, Channel channel, HttpRequest template) {
         lastProgressMicros = clock.nowMicros();
         channel.write(headOf(template));
@@ -136,13 +136,13 @@
         }
     }
 
-    /** The upstream's connection accepts more. */
+    /** Continues, now that the upstream's connection is writable again. */
     void upstreamWritable() {
         lastProgressMicros = clock.nowMicros();
         onDemandChange.run();
     }
 
-    /** The attempt is over. */
+    /** Detaches the body from an attempt that has ended. */
     void attemptEnded(UpstreamCall call) {
         if (currentCall == call) {
             currentCall = null;
@@ -152,14 +152,14 @@
         }
     }
 
-    /** Nobody needs it any more: what still comes is read and discarded. */
+    /** Releases held pieces and discards all later ones, since no attempt needs the body any more. */
     void discard() {
         discarded = true;
         releaseHeld();
         releaseLastPiece();
     }
 
-    /** The client sends no more: an attempt that has a part of it can never be complete. */
+    /** Discards the body, and cancels an attempt that has a part of it, since the client will not send the rest. */
     void abort() {
         discard();
         if (currentCall != null && !endWritten) {
@@ -188,7 +188,7 @@
 
     private void writeEnd(UpstreamCall call, Channel channel) {
         endWritten = true;
-        // An end that can't be written closes its connection, which ends the call.
+        // A failed write closes the connection, which ends the call.
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
             if (f.isSuccess()) {
                 call.markWritten();
--- a/src/main/java/loadbalancer/http1/RequestDecoder.java
+++ b/src/main/java/loadbalancer/http1/RequestDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.AsciiString;
 
-/** Decodes requests, with strict framing: nothing in a body may be taken for a request. */
+/** Decodes requests with strict framing, so that no part of a body can be read as a request. */
 final class RequestDecoder extends HttpRequestDecoder {
     RequestDecoder() {
         super(new HttpDecoderConfig().setStrictLineParsing(true));
--- a/src/main/java/loadbalancer/http1/RequestFields.java
+++ b/src/main/java/loadbalancer/http1/RequestFields.java
@@ -10,7 +10,7 @@
 import loadbalancer.balancing.Balancer.Idempotency;
 import loadbalancer.balancing.Balancer.RequestClass;
 
-/** Reads and validates the fields of a client's request. */
+/** Parses and validates the header fields of a client's request. */
 final class RequestFields {
     private static final int MAX_TOKEN_CHARS = 128;
     private static final int MAX_TARGET_CHARS = 4096;
@@ -21,14 +21,14 @@
 
     private RequestFields() {}
 
-    /** The one value of a header; empty where there is none, or where several or odd ones could be read two ways. */
+    /** The single value of a header; empty if missing, or ambiguous: repeated, too long or not visible ASCII. */
     static String singleToken(HttpHeaders headers, CharSequence name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 && isVisibleAscii(values.get(0), MAX_TOKEN_CHARS) ? values.get(0) : "";
     }
 
-    /** The number in the one value of a header, of at most nine digits; -1 where there is none. */
-    static long number(HttpHeaders headers, CharSequence name) {
+    /** The single value of a header as a number of at most nine digits; -1 if it is none. */
+    static long parseNumber(HttpHeaders headers, CharSequence name) {
         String text = singleToken(headers, name);
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
@@ -38,7 +38,7 @@
         return text.isEmpty() || text.length() > MAX_DIGITS ? -1 : Long.parseLong(text);
     }
 
-    /** The key of the data that a request is about, from its cookie; -1 where there is none. */
+    /** The affinity key of a request, from its cookie; -1 if there is none. */
     static long affinityKey(String cookies) {
         if (cookies != null) {
             for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
@@ -50,7 +50,7 @@
         return -1;
     }
 
-    /** The path and query of a request target: a client may send the whole URI (RFC 9112, 3.2.2). */
+    /** The path and query of a request target, which may be in absolute form (RFC 9112, 3.2.2). */
     static String originForm(String target) {
         if (!target.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             return target;
@@ -59,7 +59,7 @@
         return path < 0 ? "/" : target.substring(path);
     }
 
-    /** Whether method, idempotency key and target are valid for the class, which determines the first two. */
+    /** Whether method, body, idempotency key, target and HTTP version are valid for a request of this class. */
     static boolean matchesClass(FullHttpRequest message, RequestClass requestClass) {
         boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         boolean withKey = requestClass.idempotency() == Idempotency.WITH_KEY;
@@ -75,7 +75,7 @@
                 && message.protocolVersion().majorVersion() == 1;
     }
 
-    /** Whether the text is printable ASCII without a blank, of one to {@code maxLength} characters. */
+    /** Whether the text is printable ASCII without spaces, of one to {@code maxLength} characters. */
     private static boolean isVisibleAscii(String text, int maxLength) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < 0x21 || text.charAt(i) > 0x7e) {
--- a/src/main/java/loadbalancer/http1/RequestPipeline.java
+++ b/src/main/java/loadbalancer/http1/RequestPipeline.java
@@ -3,16 +3,16 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 
-/** The requests that a client has pipelined behind the one being served, in order. */
+/** The requests that a client has pipelined after the one being handled, in order. */
 final class RequestPipeline {
     /**
-     * Bounds on pipelined requests; beyond them the connection is not read. A client that is not read can't be seen to
-     * leave, and what waits here would be forwarded all the same, so they are generous.
+     * Limit on pipelined requests; at the limit the connection is not read. The limits are generous, as a disconnect is
+     * noticed only by reading, and the waiting requests of a disconnected client would still be forwarded.
      */
     private static final int MAX_REQUESTS = 512;
 
     private static final int MAX_BYTES = 1024 * 1024;
-    /** In place of {@link #MAX_REQUESTS} while the {@link BufferBudget} is exceeded. */
+    /** Replaces {@link #MAX_REQUESTS} while the {@link BufferBudget} is exceeded. */
     private static final int MAX_REQUESTS_UNDER_PRESSURE = 32;
 
     private final BufferBudget budget;
@@ -29,7 +29,7 @@
         budget.add(request.bytes());
     }
 
-    /** Takes the next request, whose message the caller releases; null where there is none. */
+    /** Removes and returns the next request, whose message the caller releases; null if there is none. */
     PendingRequest poll() {
         PendingRequest request = requests.poll();
         if (request != null) {
@@ -48,7 +48,7 @@
                 && bytes < MAX_BYTES;
     }
 
-    /** Drops the request with this large body, if it still waits. */
+    /** Drops the request with this large body, if it is still in the pipeline. */
     void drop(RequestBodyForwarder largeBody) {
         for (Iterator<PendingRequest> waiting = requests.iterator(); waiting.hasNext(); ) {
             PendingRequest request = waiting.next();
--- a/src/main/java/loadbalancer/http1/ResponseBodySink.java
+++ b/src/main/java/loadbalancer/http1/ResponseBodySink.java
@@ -2,23 +2,23 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Receives a large response body while it comes. {@link #begin} is the first call; {@link #complete} or {@link #abort} the last. */
+/** Receives a streamed response body. {@link #begin} comes first, {@link #complete} or {@link #abort} last. */
 interface ResponseBodySink {
-    /** A response of this length begins; -1 where only its end tells. */
+    /** Starts a response whose body has this length, -1 if unknown. */
     void begin(UpstreamConnection upstream, long lengthBytes);
 
-    /** Takes the piece over. */
+    /** Writes a piece and takes ownership of it. */
     void write(ByteBuf piece);
 
-    /** Flushes what was written. */
+    /** Flushes the written pieces. */
     void flush();
 
-    /** Whether more is accepted now. After a no, {@link UpstreamConnection#resumeReading} is called once it is. */
+    /** Whether more is accepted now. If not, {@link UpstreamConnection#resumeReading} is called when it is. */
     boolean isWritable();
 
-    /** All of the body has come. */
+    /** Ends the response, whose body is complete. */
     void complete();
 
-    /** The rest will not come, which the client must be able to see. */
+    /** Ends an incomplete response so that the client notices the truncation. */
     void abort();
 }
--- a/src/main/java/loadbalancer/http1/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/http1/ResponseDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
 
-/** Decodes responses, with strict framing. */
+/** Decodes responses with strict framing. */
 final class ResponseDecoder extends HttpResponseDecoder {
     ResponseDecoder() {
         super(new HttpDecoderConfig().setStrictLineParsing(true));
@@ -22,7 +22,7 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Whether bytes wait that are part of no decoded message: an incomplete response, or noise behind one. */
+    /** Whether there are bytes that are not decoded yet, of an incomplete response or after a response. */
     boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/loadbalancer/http1/StreamedResponse.java
+++ b/src/main/java/loadbalancer/http1/StreamedResponse.java
@@ -6,17 +6,17 @@
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** Streams a large response body to a client: the upstream is read no faster than the client reads. */
+/** Streams a large response body to a client. The upstream is read no faster than the client reads. */
 final class StreamedResponse implements ResponseBodySink {
     private final ClientConnection connection;
     private final Channel channel;
     private final boolean keepAlive;
-    private final boolean clientReadsChunks;
+    private final boolean clientSupportsChunked;
 
-    StreamedResponse(ClientConnection connection, boolean keepAlive, boolean clientReadsChunks) {
+    StreamedResponse(ClientConnection connection, boolean keepAlive, boolean clientSupportsChunked) {
         this.connection = connection;
         this.keepAlive = keepAlive;
-        this.clientReadsChunks = clientReadsChunks;
+        this.clientSupportsChunked = clientSupportsChunked;
         channel = connection.channel();
     }
 
@@ -24,11 +24,11 @@
     public void begin(UpstreamConnection upstream, long lengthBytes) {
         connection.streamingFrom(upstream);
         boolean keepsOpen =
-                keepAlive && !connection.closesBetweenResponses() && (lengthBytes >= 0 || clientReadsChunks);
+                keepAlive && !connection.shouldCloseAfterResponse() && (lengthBytes >= 0 || clientSupportsChunked);
         if (!keepsOpen) {
             connection.closeAfterResponse();
         }
-        channel.write(HttpMessages.streamHead(lengthBytes, clientReadsChunks, keepsOpen));
+        channel.write(HttpMessages.streamHead(lengthBytes, clientSupportsChunked, keepsOpen));
     }
 
     @Override
@@ -53,7 +53,7 @@
         connection.responseWritten(keepsOpen, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
     }
 
-    /** Resets the connection, so that even a client that was given neither a length nor chunks sees the break. */
+    /** Resets the connection, so that the client notices the truncation even without a length or chunked encoding. */
     @Override
     public void abort() {
         connection.streamAborted();
--- a/src/main/java/loadbalancer/http1/StrictDecoders.java
+++ b/src/main/java/loadbalancer/http1/StrictDecoders.java
@@ -2,16 +2,16 @@
 
 import io.netty.channel.ChannelHandler;
 
-/** The decoders of client and upstream connections, for fuzzing. */
+/** Creates the decoders of client and upstream connections, for fuzzing. */
 public final class StrictDecoders {
     private StrictDecoders() {}
 
-    /** As on a client's connection. */
+    /** The request decoder of client connections. */
     public static ChannelHandler requestDecoder() {
         return new RequestDecoder();
     }
 
-    /** As on an upstream's connection. */
+    /** The response decoder of upstream connections. */
     public static ChannelHandler responseDecoder() {
         return new ResponseDecoder();
     }
--- a/src/main/java/loadbalancer/http1/UpstreamCall.java
+++ b/src/main/java/loadbalancer/http1/UpstreamCall.java
@@ -16,41 +16,41 @@
 import loadbalancer.balancing.Balancer.Outcome;
 import loadbalancer.core.Attempt;
 
-/** One message to an upstream, an attempt or a health check, from its connection to its outcome. */
+/** One request to an upstream, for an attempt or a health check, from the choice of a connection to the outcome. */
 public final class UpstreamCall implements Attempt {
-    /** The host name that all upstreams share. */
+    /** Host header for all upstreams. */
     static final AsciiString HOST = AsciiString.cached("api.internal");
-    /** A timer that fires so late shows that the event loop stood still. */
+    /** A timeout that fires this late or later shows that the event loop was stalled. */
     private static final long LATE_TIMER_MICROS = 5_000;
-    /** Longest extension of a timeout after that. */
+    /** Longest extension of a timeout after a stall of the event loop. */
     private static final long MAX_EXTENSION_MICROS = 50_000;
 
     private final Upstreams upstreams;
     private final String upstream;
-    /** Makes the message, given how long a response is waited for, microseconds. */
+    /** Creates the message, given the time until the deadline in microseconds. */
     private final LongFunction<FullHttpRequest> messageFactory;
 
     private final Listener listener;
-    /** Where a large response is streamed to; null: a large response is malformed. */
+    /** Receives a large response; if null, a large response is malformed. */
     private final ResponseBodySink bodySink;
-    /** A large body, which is not in the message; null for none. */
+    /** The large body, which is not in the message; null if there is none. */
     private final RequestBodyForwarder largeBody;
-    /** A health check's response body is the load report. */
+    /** Whether this is a health check, whose response body is the load report. */
     private final boolean healthCheck;
 
-    private long untilMicros;
+    private long deadlineMicros;
     private long sendBeforeMicros = Long.MAX_VALUE;
     private long sentMicros;
     private long writtenMicros;
     private UpstreamTarget target;
     private Channel channel;
-    /** Null before the start, and while a large body comes: its client's time does not count yet. */
+    /** Null before the start, and while a large body is received, during which the client's timeout does not run. */
     private Future<?> timeout;
 
     private boolean timeoutExtended;
     private boolean openedConnection;
     private boolean connectionRefused;
-    /** A part of the message may be with the kernel. */
+    /** Whether a part of the message may have been written. */
     private boolean writeStarted;
 
     private boolean ended;
@@ -72,17 +72,17 @@
         this.healthCheck = healthCheck;
     }
 
-    /** An attempt. {@code bodySink} null: a large response is malformed. {@code largeBody} null: the body is in the message. */
+    /** An attempt. {@code bodySink} may be null for no large response, {@code largeBody} for a body in the message. */
     static UpstreamCall attempt(
             Upstreams upstreams,
             String upstream,
-            long untilMicros,
+            long deadlineMicros,
             LongFunction<FullHttpRequest> messageFactory,
             Listener listener,
             ResponseBodySink bodySink,
             RequestBodyForwarder largeBody) {
         UpstreamCall call = new UpstreamCall(upstreams, upstream, messageFactory, listener, bodySink, largeBody, false);
-        call.untilMicros = untilMicros;
+        call.deadlineMicros = deadlineMicros;
         return call;
     }
 
@@ -90,11 +90,11 @@
     static UpstreamCall healthCheck(
             Upstreams upstreams,
             String upstream,
-            long untilMicros,
+            long deadlineMicros,
             LongFunction<FullHttpRequest> messageFactory,
             Listener listener) {
         UpstreamCall call = new UpstreamCall(upstreams, upstream, messageFactory, listener, null, null, true);
-        call.untilMicros = untilMicros;
+        call.deadlineMicros = deadlineMicros;
         return call;
     }
 
@@ -108,7 +108,7 @@
         return upstream;
     }
 
-    /** The time of the start; for a large body that of its last byte, since its client's pace is not the upstream's. */
+    /** Time of the start, or of writing a large body's last byte, as a slow client is not the upstream's fault. */
     @Override
     public long sentMicros() {
         return largeBody != null && isWritten() ? writtenMicros : sentMicros;
@@ -143,10 +143,10 @@
             end(Outcome.NOT_SENT, null, null);
             return;
         }
-        // A large body that stands still is given up by its client's connection.
+        // The client's connection detects a large body that stalls.
         timeout = largeBody != null && !largeBody.isComplete()
                 ? null
-                : upstreams.loop().schedule(this::timedOut, untilMicros - nowMicros, TimeUnit.MICROSECONDS);
+                : upstreams.loop().schedule(this::timedOut, deadlineMicros - nowMicros, TimeUnit.MICROSECONDS);
         Channel idle = upstreams.pool().takeIdle(target, nowMicros);
         if (idle != null) {
             channel = idle;
@@ -173,7 +173,7 @@
         abandon(Outcome.CANCELLED);
     }
 
-    /** Where a large response is streamed to; null: a large response is malformed. */
+    /** Receives a large response; if null, a large response is malformed. */
     ResponseBodySink bodySink() {
         return bodySink;
     }
@@ -182,7 +182,7 @@
         return healthCheck;
     }
 
-    /** Begins to stream the response; false, and abandoned, where it is too late for that. */
+    /** Starts to stream the response. Returns false and abandons the call if it is too late for that. */
     boolean beginStreaming() {
         if (ended || !listener.beginStreaming(this)) {
             abandon(Outcome.CANCELLED);
@@ -192,15 +192,15 @@
         return true;
     }
 
-    /** The last byte was written: from now on the upstream may execute the request. */
+    /** Records that the last byte was written; from now on the upstream may execute the request. */
     void markWritten() {
         writtenMicros = upstreams.clock().nowMicros();
         listener.onWritten(this);
     }
 
-    /** The last byte of the large body has come: a response is waited for until {@code limitMicros}. */
+    /** Sets the deadline of the response, now that the last byte of the large body was received. */
     void bodyComplete(long limitMicros) {
-        untilMicros = limitMicros;
+        deadlineMicros = limitMicros;
         if (!ended && timeout == null) {
             timeout = upstreams
                     .loop()
@@ -213,19 +213,19 @@
         return largeBody != null && !isWritten();
     }
 
-    /** The upstream's connection accepts more. */
+    /** Continues a large body, now that the upstream's connection is writable again. */
     void upstreamWritable() {
         if (largeBody != null) {
             largeBody.upstreamWritable();
         }
     }
 
-    /** Gives its connection, which can carry another call, back. */
+    /** Returns the connection, which can carry another call, to the pool. */
     void releaseConnection() {
         upstreams.pool().release(target, channel, isWritten());
     }
 
-    /** Ends it. The body is set with {@code OK} only, and stays the caller's. */
+    /** Ends the call. {@code body} is null unless the outcome is {@code OK}; the caller releases it. */
     void end(Outcome outcome, LoadReport report, ByteBuf body) {
         if (ended) {
             return;
@@ -238,12 +238,12 @@
         listener.onEnd(this, outcome, report, body);
     }
 
-    /** Its connection broke. A request whose last byte was not written has never been executed. */
+    /** Ends the call after its connection failed. A request without its last byte written was not executed. */
     void failConnection() {
         end(isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
     }
 
-    /** What came is no response; a request whose last byte was not written has not been executed all the same. */
+    /** Ends the call after a malformed response. A request without its last byte written was not executed. */
     void failMalformed() {
         end(isWritten() ? Outcome.MALFORMED : Outcome.CONNECT_FAILED, null, null);
     }
@@ -271,25 +271,25 @@
             connectionRefused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
             failConnection();
         } else if (!mayStillWrite()) {
-            // No failure of the upstream: the connection did come up, perhaps long ago on a loop that stood still.
+            // Not the upstream's failure: the connection was established, perhaps long before a stalled loop noticed.
             abandon(Outcome.NOT_SENT);
         } else {
             write();
         }
     }
 
-    /** Whether it may be written after its connection came up: the list may have changed meanwhile, or time run out. */
+    /** Whether to write on a new connection: the endpoint list may have changed meanwhile, or the deadline passed. */
     private boolean mayStillWrite() {
         return target.isReady()
                 && upstreams.clock().nowMicros() < sendBeforeMicros
-                && (healthCheck || isSendingBody() || upstreams.clock().nowMicros() < untilMicros)
+                && (healthCheck || isSendingBody() || upstreams.clock().nowMicros() < deadlineMicros)
                 && listener.isWanted();
     }
 
     private void write() {
         writeStarted = true;
         FullHttpRequest message =
-                messageFactory.apply(untilMicros - upstreams.clock().nowMicros());
+                messageFactory.apply(deadlineMicros - upstreams.clock().nowMicros());
         message.headers()
                 .set(HttpHeaderNames.HOST, HOST)
                 .set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
@@ -307,16 +307,16 @@
                 markWritten();
             } else {
                 channel.close();
-                // A message that can't be encoded is its client's fault: no upstream has seen it.
+                // A message that can't be encoded is the client's fault and never reached the upstream.
                 end(f.cause() instanceof EncoderException ? Outcome.INVALID : Outcome.CONNECT_FAILED, null, null);
             }
         });
     }
 
-    /** Ends it without a response, and closes its connection: a late response must not meet another call. */
+    /** Ends the call without a response and closes its connection, so that no other call gets a late response. */
     private void abandon(Outcome outcome) {
         if (!ended) {
-            // In this order: closing a connection that is coming up fails it at once, as the upstream's failure.
+            // End first: closing a connection that is being opened reports a connect failure of the upstream at once.
             end(outcome, null, null);
             if (channel != null) {
                 channel.close();
@@ -331,11 +331,11 @@
     }
 
     /**
-     * Extends the timeout once by the time for which the event loop stood still: the response may lie unread, and the
-     * loop's stall would count as the upstream's.
+     * Extends the timeout once if the event loop was stalled: the response may still be unread, and the upstream must
+     * not be blamed for the stall.
      */
     private void timedOut() {
-        long lateMicros = upstreams.clock().nowMicros() - untilMicros;
+        long lateMicros = upstreams.clock().nowMicros() - deadlineMicros;
         if (lateMicros >= LATE_TIMER_MICROS && !timeoutExtended) {
             timeoutExtended = true;
             timeout = upstreams
--- a/src/main/java/loadbalancer/http1/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/UpstreamConnection.java
@@ -21,49 +21,49 @@
 import loadbalancer.balancing.Balancer.Outcome;
 
 /**
- * One connection to an upstream, which carries one call at a time. It can be reused as long as every byte on it belongs
- * to a call's response; one byte more closes it. A small response is buffered and ends the call when it is complete; a
- * large one is streamed to the client, no faster than that reads.
+ * One connection to an upstream, which carries one call at a time. It can be reused as long as every byte received
+ * belongs to a call's response; any other byte closes it. A small response is buffered and ends the call when it is
+ * complete. A large one is streamed to the client, no faster than the client reads.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
     private static final AttributeKey<UpstreamConnection> KEY =
             AttributeKey.valueOf(UpstreamConnection.class, "connection");
-    /** Bytes of a large response that must have come before it is streamed: a head alone may be noise. */
+    /** Body bytes that must have been received before a response is streamed, as a head alone is no proof of one. */
     private static final int MIN_STREAMED_BYTES = 1024;
 
     private static final int MAX_BODY_COMPONENTS = 1024;
-    /** An upstream that sends nothing for this long while streaming sends no more; pauses up to 2 s must not end it. */
+    /** Limit for pauses of an upstream while its response is streamed. Pauses up to 2 s are normal. */
     private static final long STREAM_STALL_MICROS = 5_000_000;
-    /** A client that reads nothing for this long occupies an upstream's connection for nothing. */
+    /** Limit for pauses of a client that reads a streamed response, since it occupies an upstream's connection. */
     private static final long CLIENT_STALL_MICROS = 10_000_000;
 
     private final ResponseDecoder decoder = new ResponseDecoder();
-    /** A buffered response that has begun and stands still for this long is malformed. */
+    /** Limit for pauses in a buffered response; a response that stalls longer is malformed. */
     private final long stallMicros;
 
     private ChannelHandlerContext handlerContext;
     private long idleSinceMicros;
-    /** Null while idle. */
+    /** The call being carried; null while idle. */
     private UpstreamCall call;
-    /** The response being read; null before its head. */
+    /** Head of the response being read; null until it is received. */
     private HttpResponse head;
-    /** What is buffered of its body; null for nothing. */
+    /** The buffered part of its body; null if there is none. */
     private CompositeByteBuf body;
-    /** The body ends with the connection. */
+    /** Whether the end of the connection marks the end of the body. */
     private boolean endsWithConnection;
-    /** An interim response is being read. */
+    /** Whether an interim response is being read. */
     private boolean readingInterim;
-    /** All of the response has come; it is delivered at the end of the read. */
+    /** Whether the response is complete; it is delivered at the end of the read. */
     private boolean complete;
-    /** The response is streamed to the client. */
+    /** Whether the response is streamed to the client. */
     private boolean streaming;
-    /** Something came that is no response to the call. */
+    /** Whether something was received that is no valid response to the call. */
     private boolean malformed;
-    /** The connection broke: its end does not complete a response. */
+    /** Whether the connection was reset, so that its end does not complete a response. */
     private boolean connectionReset;
 
     private long headNanos;
-    /** When a part of the response last came, or the client last read. */
+    /** Time at which a part of the response was last received, or reading was resumed for the client. */
     private long lastReadNanos;
 
     private Future<?> stallTimer;
@@ -72,14 +72,14 @@
         this.stallMicros = stallMicros;
     }
 
-    /** Installs the handlers of a new channel. */
+    /** Adds the handlers to the pipeline of a new channel. */
     static void install(Channel channel, long stallMicros) {
         UpstreamConnection connection = new UpstreamConnection(stallMicros);
         channel.attr(KEY).set(connection);
         channel.pipeline().addLast(new HttpRequestEncoder(), connection.decoder, connection);
     }
 
-    /** The connection of a channel; not from its pipeline, which has no handlers once the upstream has closed. */
+    /** The connection of a channel. Not looked up in the pipeline, which has no handlers after the upstream's close. */
     static UpstreamConnection of(Channel channel) {
         return channel.attr(KEY).get();
     }
@@ -89,12 +89,12 @@
         handlerContext = context;
     }
 
-    /** Carries {@code next} from now on; called while idle. */
+    /** Starts to carry {@code next}; called while idle. */
     void begin(UpstreamCall next) {
         call = next;
     }
 
-    /** Whether nothing has come since the last response, so that what comes next belongs to the next call. */
+    /** Whether nothing was received after the last response, so that the next bytes will belong to the next call. */
     boolean isClean() {
         return !malformed && !complete && !hasPartialResponse();
     }
@@ -107,13 +107,13 @@
         idleSinceMicros = nowMicros;
     }
 
-    /** The client reads again. */
+    /** Reads from the upstream again, now that the client reads. */
     void resumeReading() {
         lastReadNanos = System.nanoTime();
         handlerContext.channel().config().setAutoRead(true);
     }
 
-    /** The client has left: the rest of the response is of no use. */
+    /** Cancels the call, since the client has disconnected and does not need the rest of the response. */
     void clientLeft() {
         if (call != null) {
             call.cancel();
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Accepts only a response with a known end. A second response to one request must not answer the next one. */
+    /** Accepts only a response with a known end. A second response to one request must not answer the next request. */
     private void beginResponse(HttpResponse response) {
         if (call == null || head != null || complete) {
             malformed = true;
@@ -147,7 +147,7 @@
         } else {
             boolean framed = UpstreamResponses.isFramed(response);
             endsWithConnection = !framed && UpstreamResponses.endsWithConnection(response);
-            // Nothing is executed before its last byte has come: a 200 before that belongs to another request.
+            // A request is executed after its last byte only, so an earlier 200 belongs to another request.
             malformed = UpstreamResponses.isProtocolSwitch(response)
                     || UpstreamResponses.isOk(response) && call.isSendingBody()
                     || !framed && !endsWithConnection
@@ -158,7 +158,7 @@
     }
 
     private void addContent(HttpContent content) {
-        // The decoder takes any end of the connection for the end of a body that ends with it.
+        // The decoder ends a body without a length at any end of the connection, even at a reset.
         boolean last = content instanceof LastHttpContent && !(endsWithConnection && connectionReset);
         if (readingInterim) {
             readingInterim = !last;
@@ -173,7 +173,7 @@
         }
         complete = last;
         if (!streaming && isLarge()) {
-            // A long error response is no response of the protocol, and nobody waits for one.
+            // The protocol has no large error responses, and a call without a sink accepts no large response.
             if (UpstreamResponses.outcome(head) != Outcome.OK || call.bodySink() == null) {
                 malformed = true;
             } else {
@@ -198,11 +198,12 @@
         return bufferedBytes > HttpLimits.MAX_BUFFERED_BODY_BYTES
                 || !complete
                         && bufferedBytes >= MIN_STREAMED_BYTES
-                        && (UpstreamResponses.bodyLength(head) > HttpLimits.MAX_BUFFERED_BODY_BYTES || isLate());
+                        && (UpstreamResponses.bodyLength(head) > HttpLimits.MAX_BUFFERED_BODY_BYTES
+                                || isSlowWithUnknownLength());
     }
 
-    /** Of unknown length and slow: buffered until complete, or known to be large, its first bytes would come too late. */
-    private boolean isLate() {
+    /** Whether the length is unknown and, buffered any longer, the first bytes would reach the client too late. */
+    private boolean isSlowWithUnknownLength() {
         return UpstreamResponses.bodyLength(head) < 0 && System.nanoTime() - headNanos > stallMicros * 1_000 / 3;
     }
 
@@ -229,7 +230,7 @@
         handlerContext.fireChannelWritabilityChanged();
     }
 
-    /** Only at the end of a read is it known whether something came behind the response. */
+    /** Completes a response only at the end of a read, when it is known whether other bytes follow it. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (streaming && call != null) {
@@ -275,7 +276,7 @@
         stallTimer = handlerContext.executor().schedule(this::checkStall, delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** A response that comes slowly, piece by piece, is valid: only one that stands still is malformed. */
+    /** Fails a response that has stalled for the limit. A slow response that still makes progress is valid. */
     private void checkStall() {
         stallTimer = null;
         long remainingMicros = stallLimitMicros() - (System.nanoTime() - lastReadNanos) / 1000;
@@ -312,7 +313,7 @@
         }
     }
 
-    /** Ready for the next call. The caller releases what was buffered. */
+    /** Resets the state for the next call. The caller releases the buffered body. */
     private void clearCall() {
         call = null;
         head = null;
@@ -326,14 +327,14 @@
         }
     }
 
-    /** What came is no response. The request may have been executed, and the connection can't be reused. */
+    /** Ends the call with a malformed response and closes the connection. The request may have been executed. */
     private void failMalformed() {
         malformed = true;
         endCall(UpstreamCall::failMalformed);
         handlerContext.close();
     }
 
-    /** Ends the call, if any, without a response; a client that has been streamed a part of one sees a break. */
+    /** Ends the call, if any, without a response. A partly streamed response is aborted so that the client notices. */
     private void endCall(Consumer<UpstreamCall> end) {
         UpstreamCall current = call;
         boolean streamed = streaming;
@@ -349,7 +350,7 @@
         }
     }
 
-    /** A response that ends with its connection is complete only where the connection was closed in order. */
+    /** Delivers a response that ends with the connection, if the connection was closed without an error. */
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (complete && call != null) {
@@ -359,7 +360,7 @@
         handlerContext.fireChannelInactive();
     }
 
-    /** A broken connection, or what can't be read as HTTP: the call is over, unless its response is complete. */
+    /** Ends the call after a reset or invalid HTTP, unless its response is complete. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (complete) {
--- a/src/main/java/loadbalancer/http1/UpstreamTarget.java
+++ b/src/main/java/loadbalancer/http1/UpstreamTarget.java
@@ -5,11 +5,11 @@
 import java.util.ArrayDeque;
 import loadbalancer.balancing.Balancer.UpstreamState;
 
-/** An upstream as the endpoint list has it now, with its idle connections. Another address or start is another target. */
+/** One process of an upstream, identified by address and start time, with its idle connections. */
 final class UpstreamTarget {
     private final InetSocketAddress address;
     private final long startedMicros;
-    /** The most recently used first, so that the others grow old enough to be closed. */
+    /** Most recently used first, so that surplus connections stay idle and expire. */
     private final ArrayDeque<Channel> idleChannels = new ArrayDeque<>();
 
     private UpstreamState state;
@@ -27,7 +27,7 @@
         return idleChannels;
     }
 
-    boolean isProcess(InetSocketAddress otherAddress, long otherStartedMicros) {
+    boolean isSameProcess(InetSocketAddress otherAddress, long otherStartedMicros) {
         return address.equals(otherAddress) && startedMicros == otherStartedMicros;
     }
 
@@ -39,7 +39,7 @@
         this.state = state;
     }
 
-    /** It has left the list, perhaps for a successor. */
+    /** Stops use of this process, which was removed from the endpoint list or replaced by another one. */
     void remove() {
         state = UpstreamState.GONE;
         closeIdle();
--- a/src/main/java/loadbalancer/http1/Upstreams.java
+++ b/src/main/java/loadbalancer/http1/Upstreams.java
@@ -19,9 +19,9 @@
 import loadbalancer.core.Clock;
 import loadbalancer.membership.Endpoint;
 
-/** The HTTP upstreams of the endpoint list, and the attempts and health checks on their pooled connections. */
+/** The HTTP upstreams of the endpoint list; makes attempts and health checks on their pooled connections. */
 public final class Upstreams {
-    /** Idle connections are closed this much before the upstream may close them, so that no request crosses the close. */
+    /** Margin by which idle connections are closed before the upstream does, so that no request crosses its close. */
     private static final long IDLE_MARGIN_MICROS = 2_000_000;
 
     private static final long SWEEP_MILLIS = 1_000;
@@ -32,12 +32,12 @@
     private final ConnectionPool pool;
 
     /**
-     * No upstreams yet. Times are in microseconds.
+     * Creates an instance without upstreams.
      *
      * @param connectionIdleMicros time after which upstreams close an idle connection
      * @param connectTimeoutMicros time within which a connection must open
-     * @param stallMicros          time after which a response that has begun and stands still is malformed
-     * @param maxConnections       to all upstreams together
+     * @param stallMicros          time without progress after which a partly received response is malformed
+     * @param maxConnections       limit on the connections to all upstreams together
      */
     public Upstreams(
             EventLoop loop,
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Takes endpoints over. Idle connections to upstreams that drain, are gone or are now another process are closed.
+     * Applies endpoints. Idle connections to upstreams that drain, are gone or were restarted are closed.
      *
-     * @param complete whether upstreams that are not named are gone
+     * @param complete whether upstreams that are not among the endpoints are removed
      */
     public void update(boolean complete, List<Endpoint> endpoints) {
         Set<String> named = new HashSet<>();
@@ -84,7 +84,7 @@
         InetSocketAddress address = Addresses.parse(endpoint.address());
         long startedMicros = endpoint.upstream().startedMicros();
         UpstreamTarget target = targets.get(id);
-        if (target == null || !target.isProcess(address, startedMicros)) {
+        if (target == null || !target.isSameProcess(address, startedMicros)) {
             if (target != null) {
                 target.remove();
             }
@@ -97,46 +97,46 @@
             target.closeIdle();
         }
         if (state == UpstreamState.GONE) {
-            // Successors come under new ids: kept, the map would grow with each of them.
+            // Replacements get new ids, so the map would grow without bound if gone upstreams stayed in it.
             targets.remove(id);
         }
     }
 
     /**
-     * An attempt at a request.
+     * Creates an attempt at a request.
      *
-     * @param messageFactory makes the message when it is written, given how long a response is waited for, microseconds
+     * @param messageFactory creates the message when it is written, given the time until the deadline in microseconds
      */
     public UpstreamCall newCall(
             String upstream,
-            long untilMicros,
+            long deadlineMicros,
             LongFunction<FullHttpRequest> messageFactory,
             Attempt.Listener listener) {
-        return newCall(upstream, untilMicros, messageFactory, listener, null, null);
+        return newCall(upstream, deadlineMicros, messageFactory, listener, null, null);
     }
 
     /**
-     * An attempt at a request.
+     * Creates an attempt at a request.
      *
-     * @param bodySink  where a large response is streamed to; null: a large response is malformed
-     * @param largeBody a body that is not in the message; null for none
+     * @param bodySink  receives a large response; if null, a large response is malformed
+     * @param largeBody the large body, which is not in the message; null if there is none
      */
     UpstreamCall newCall(
             String upstream,
-            long untilMicros,
+            long deadlineMicros,
             LongFunction<FullHttpRequest> messageFactory,
             Attempt.Listener listener,
             ResponseBodySink bodySink,
             RequestBodyForwarder largeBody) {
-        return UpstreamCall.attempt(this, upstream, untilMicros, messageFactory, listener, bodySink, largeBody);
+        return UpstreamCall.attempt(this, upstream, deadlineMicros, messageFactory, listener, bodySink, largeBody);
     }
 
-    /** A health check, whose response is the upstream's load report. */
-    public UpstreamCall newHealthCheck(String upstream, long untilMicros, Attempt.Listener listener) {
+    /** Creates a health check, whose response is the upstream's load report. */
+    public UpstreamCall newHealthCheck(String upstream, long deadlineMicros, Attempt.Listener listener) {
         return UpstreamCall.healthCheck(
                 this,
                 upstream,
-                untilMicros,
+                deadlineMicros,
                 waitMicros -> HttpMessages.request(HttpMethod.GET, HealthCheck.LOAD_REPORT_PATH, Unpooled.EMPTY_BUFFER),
                 listener);
     }
@@ -176,7 +176,7 @@
         return pool;
     }
 
-    /** The upstream as it is listed now; null where it is not. */
+    /** The upstream as the endpoint list has it now; null if it is not listed. */
     UpstreamTarget target(String upstream) {
         return targets.get(upstream);
     }
