--- a/src/main/java/loadbalancer/core/Addresses.java
+++ b/src/main/java/loadbalancer/core/Addresses.java
@@ -5,14 +5,14 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses numeric socket addresses: there is no DNS, and nothing on the event loop may block on a lookup. */
+/** Parses numeric socket addresses. There are no DNS lookups, because they would block the event loop. */
 public final class Addresses {
     private Addresses() {}
 
     /**
      * Parses {@code ip:port}.
      *
-     * @throws IllegalArgumentException for anything else; its message quotes the text
+     * @throws IllegalArgumentException if the text is anything else; the message quotes it
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/loadbalancer/core/Attempt.java
+++ b/src/main/java/loadbalancer/core/Attempt.java
@@ -5,46 +5,46 @@
 import loadbalancer.balancing.Balancer.Outcome;
 
 /**
- * One attempt at a request at one upstream, in whatever protocol that upstream speaks. It ends exactly once and then
- * notifies its {@link Listener}; starting it may end it before {@link #start} returns. All times are {@link Clock} time.
+ * One attempt at a request at one upstream, in any protocol. It ends exactly once and then notifies its
+ * {@link Listener}; it may end before {@link #start} returns. All times are {@link Clock} time.
  */
 public interface Attempt {
-    /** Is notified of an attempt's progress. */
+    /** Listens to the progress of an attempt. */
     interface Listener {
         /**
-         * Called once, at the attempt's end.
+         * Called once, at the end of the attempt.
          *
-         * @param report the upstream's load report; null where its response carried none
-         * @param body   the response body, with {@code OK} only and released after the call; else null
+         * @param report the upstream's load report; null if its response had none
+         * @param body   the response body, released after the call; null unless the outcome is {@code OK}
          */
         void onEnd(Attempt attempt, Outcome outcome, LoadReport report, ByteBuf body);
 
-        /** Whether the request still waits for this attempt; asked before its first byte is written to a new connection. */
+        /** Whether the request still needs this attempt; called before it is written to a new connection. */
         default boolean isWanted() {
             return true;
         }
 
-        /** The last byte was written: from now on the upstream may execute the request. */
+        /** Called when the last byte was written; from now on the upstream may execute the request. */
         default void onWritten(Attempt attempt) {}
 
         /**
-         * The response has begun and can be streamed to the client. True: from now on the request belongs to this
-         * attempt alone, to its end, and no deadline applies. False: it is too late, and the attempt must be abandoned.
+         * Called when the response has begun and can be streamed to the client. Returns true if this attempt alone
+         * carries the request from now on, without a deadline; false if it is too late and it must be abandoned.
          */
         default boolean beginStreaming(Attempt attempt) {
             return false;
         }
     }
 
-    /** Creates the attempts of one request; supplied by the front end, which knows the request's protocol. */
+    /** Creates the attempts of one request. Implemented by the front ends, which know the request's protocol. */
     interface Factory {
-        /** Creates an attempt that is abandoned at {@code untilMicros}. Nothing is sent before {@link Attempt#start}. */
-        Attempt create(String upstream, long untilMicros, Listener listener);
+        /** Creates an attempt that is abandoned at the deadline. Nothing is sent before {@link Attempt#start}. */
+        Attempt create(String upstream, long deadlineMicros, Listener listener);
     }
 
     /**
-     * Forbids sending at this time or later, however long the connection takes to open: the upstreams' idempotency
-     * window may have passed by then. Called before the start.
+     * Sets the time from which on nothing may be sent, even if the connection opens only then, because the upstreams'
+     * idempotency window may have passed. Called before the start.
      */
     void sendBefore(long limitMicros);
 
@@ -54,29 +54,29 @@
     /** Time of the start; 0 before it. */
     long sentMicros();
 
-    /** Whether the listener has been notified of its end. */
+    /** Whether the attempt has ended and its listener was notified. */
     boolean hasEnded();
 
-    /** Time at which the last byte was written, from when on it may be executed; 0 before it. */
+    /** Time at which the last byte was written, after which the request may be executed; 0 until then. */
     long writtenMicros();
 
-    /** Whether it had to wait for a new connection. */
+    /** Whether the attempt needed a new connection. */
     boolean openedConnection();
 
-    /** Whether nobody listened at the upstream's address: an upstream that listens there later has started since. */
+    /** Whether the connection was refused, so that an upstream which listens there later must have been restarted. */
     default boolean isConnectionRefused() {
         return false;
     }
 
-    /** Sends it on an idle connection, or on a new one. Called at most once. */
+    /** Sends the attempt on an idle or a new connection. Called at most once. */
     void start();
 
-    /** Ends it with {@code NOT_SENT} in place of a start. */
+    /** Ends the attempt with {@code NOT_SENT}; called instead of {@link #start}. */
     void drop();
 
-    /** Ends it with {@code NOT_SENT} where nothing of it has been written yet; leaves it alone otherwise. */
+    /** Ends the attempt with {@code NOT_SENT} if nothing of it has been written yet; otherwise has no effect. */
     void cancelIfUnsent();
 
-    /** Abandons it; an execution that may have begun goes on. No effect once it has ended. */
+    /** Abandons the attempt, without stopping an execution at the upstream. No effect if it has ended. */
     void cancel();
 }
--- a/src/main/java/loadbalancer/core/BalancerDispatcher.java
+++ b/src/main/java/loadbalancer/core/BalancerDispatcher.java
@@ -6,9 +6,9 @@
 import loadbalancer.balancing.Balancer;
 
 /**
- * The only way into and out of the {@link Balancer}. Actions that the balancer takes during a call are deferred until the
- * call has returned, so no action re-enters it. An exception, the balancer's or an action's, is logged and ends neither
- * the program nor the calls queued behind it.
+ * Makes all calls of the {@link Balancer} and carries out its actions. Actions are deferred until the balancer's call
+ * has returned, so that they can't re-enter it. An exception of the balancer or of an action is logged; the calls and
+ * actions queued after it are still made.
  */
 public final class BalancerDispatcher {
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
@@ -16,20 +16,20 @@
     private Balancer balancer;
     private boolean running;
 
-    /** Creates the balancer, which may act from its constructor on; {@code target} carries its actions out. */
+    /** Creates the balancer, whose constructor may already take actions; {@code target} carries them out. */
     public void start(Function<Balancer.Actions, Balancer> factory, Balancer.Actions target) {
         calls.add(() -> balancer = factory.apply(new DeferredActions(target)));
         run();
     }
 
-    /** Calls the balancer once the calls before have returned; {@code onFailure} runs if it throws. */
+    /** Calls the balancer after all earlier calls have returned; {@code onFailure} runs if it throws. */
     public void call(Consumer<Balancer> call, Runnable onFailure) {
         calls.add(() -> {
             try {
                 call.accept(balancer);
             } catch (RuntimeException cause) {
-                // Any defect of the balancer: the sidecar answers the request itself and serves on.
-                Log.fault("the balancer failed", cause);
+                // After a defect of the balancer the sidecar answers the request itself and keeps serving.
+                Log.fault("balancer call failed", cause);
                 actions.add(onFailure);
             }
         });
@@ -47,8 +47,8 @@
                     try {
                         action.run();
                     } catch (RuntimeException cause) {
-                        // Any defect of an action: the actions behind it belong to other requests.
-                        Log.fault("an action failed", cause);
+                        // A defect of one action must not affect the next ones, which belong to other requests.
+                        Log.fault("balancer action failed", cause);
                     }
                 }
             }
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Carries actions out once the balancer's call has returned. */
+    /** Queues the balancer's actions until its call has returned. */
     private final class DeferredActions implements Balancer.Actions {
         private final Balancer.Actions target;
 
@@ -106,8 +106,8 @@
         }
 
         @Override
-        public void startTimer(String mark, long delayMicros) {
-            actions.add(() -> target.startTimer(mark, delayMicros));
+        public void startTimer(String timerName, long delayMicros) {
+            actions.add(() -> target.startTimer(timerName, delayMicros));
         }
 
         @Override
--- a/src/main/java/loadbalancer/core/DisconnectCheck.java
+++ b/src/main/java/loadbalancer/core/DisconnectCheck.java
@@ -7,22 +7,22 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * First handler of a client's connection. It delays {@code channelReadComplete} until the socket is empty, because a
- * reset or the connection's end may lie behind what has been read. So whatever a front end accepts at the end of a read
- * comes from a client that is still connected. Event loop only.
+ * First handler in the pipeline of a client connection. It delays {@code channelReadComplete} until the socket is
+ * empty, because a reset or the end of the connection may follow the data that was read. So a request that a front end
+ * handles at the end of a read is from a client that is still connected. Must be used on the event loop only.
  */
 public final class DisconnectCheck extends ChannelInboundHandlerAdapter {
-    /** Reads in a row; each fills up to sixteen buffers. */
+    /** Limit on consecutive reads, each of which fills up to 16 buffers. */
     private static final int MAX_READS = 16;
 
-    /** Whether anything is accepted at the end of this read; if not, the socket is not read further. */
+    /** Whether anything will be handled at the end of this read; if not, the socket is not read until empty. */
     private final BooleanSupplier hasPendingWork;
 
     private ChannelHandlerContext handlerContext;
     private boolean receiving;
     private boolean readingAhead;
 
-    /** {@code hasPendingWork}: whether something that was read is to be accepted at the end of the read. */
+    /** {@code hasPendingWork}: whether something that was read will be handled at the end of the read. */
     public DisconnectCheck(BooleanSupplier hasPendingWork) {
         this.hasPendingWork = hasPendingWork;
     }
@@ -49,12 +49,12 @@
         }
     }
 
-    /** Whether a read is in progress whose {@code channelReadComplete} is still to come. */
+    /** Whether a read is in progress, before its {@code channelReadComplete}. */
     public boolean isReading() {
         return receiving || readingAhead;
     }
 
-    /** Whether the client has disconnected, after one more look at the socket; during a read there is none. */
+    /** Whether the client has disconnected. Reads the socket once more, unless a read is in progress. */
     public boolean isClientGone() {
         if (!isReading() && handlerContext.channel().isActive() && readUntilEmpty()) {
             handlerContext.fireChannelReadComplete();
@@ -62,7 +62,7 @@
         return !handlerContext.channel().isActive();
     }
 
-    /** Reads while there is something to read and automatic reading is on. Returns whether anything was read. */
+    /** Reads until the socket is empty or automatic reading is off. Returns whether anything was read. */
     private boolean readUntilEmpty() {
         Channel channel = handlerContext.channel();
         boolean receivedAny = false;
--- a/src/main/java/loadbalancer/core/EventLoops.java
+++ b/src/main/java/loadbalancer/core/EventLoops.java
@@ -12,16 +12,17 @@
 import java.util.concurrent.Executor;
 
 /**
- * The one event loop of a sidecar. Netty's selector sleeps in whole milliseconds, rounded to the nearest, and spins for
- * what remains before a timer is due, which costs CPU with hundreds of timers a second. This loop rounds up instead, so
- * a timer may be up to one millisecond later. No timer of a sidecar needs better than five.
+ * Creates the single event loop of a sidecar. Netty's selector sleeps for the delay rounded to the nearest millisecond
+ * and then spins until a timer is due, which costs CPU with hundreds of timers per second. This loop rounds up
+ * instead, so a timer may fire up to one millisecond late. No timer of a sidecar needs a precision better than five
+ * milliseconds.
  */
 public final class EventLoops {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private EventLoops() {}
 
-    /** A group of one event loop, whose thread starts with its first task. */
+    /** Creates a group of one event loop, whose thread starts with its first task. */
     public static MultiThreadIoEventLoopGroup single() {
         return single(NioIoHandler.newFactory());
     }
@@ -35,12 +36,12 @@
         };
     }
 
-    /** Feeds {@code latency} with this loop's turns from now on; null ends it. Takes effect on the loop. */
+    /** Updates {@code latency} with each iteration of the loop from now on; null stops. Runs as a task of the loop. */
     public static void measureLatency(EventLoop loop, LoopLatency latency) {
         loop.execute(() -> ((RoundingEventLoop) loop).latency = latency);
     }
 
-    /** A handler for the head of a pipeline that feeds {@code latency} with each read. */
+    /** Creates a handler for the head of a pipeline, which updates {@code latency} with each read. */
     public static ChannelInboundHandler latencyHandler(LoopLatency latency) {
         return new ChannelInboundHandlerAdapter() {
             @Override
@@ -51,7 +52,7 @@
         };
     }
 
-    /** A delay that Netty's rounding to the nearest millisecond turns into the next whole one; a delay that is due stays. */
+    /** A delay that Netty's rounding to the nearest millisecond rounds up. A delay that is due is returned as it is. */
     static long roundUpToMillis(long delayNanos) {
         return delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI
                 ? delayNanos
@@ -70,10 +71,10 @@
             if (latency == null) {
                 return super.runIo();
             }
-            latency.turnStarted(System.nanoTime());
+            latency.iterationStarted(System.nanoTime());
             int handledEvents = super.runIo();
             if (latency != null) {
-                latency.turnEventsHandled(System.nanoTime());
+                latency.iterationEventsHandled(System.nanoTime());
             }
             return handledEvents;
         }
--- a/src/main/java/loadbalancer/core/Exchange.java
+++ b/src/main/java/loadbalancer/core/Exchange.java
@@ -9,34 +9,34 @@
 import loadbalancer.trace.Trace;
 
 /**
- * One request, from its admission to its one response and the end of its last attempt. {@link Requests} owns its state;
- * times are {@link Clock} time.
+ * One request in flight, from its admission until it has been answered and its last attempt has ended. {@link Requests}
+ * owns the state. Times are {@link Clock} time.
  */
 public final class Exchange {
-    /** When the response must be on its way. */
+    /** Time by which the response must be sent. */
     long deadlineMicros;
-    /** Fires a little after the deadline. */
+    /** Fails the request if it is still open a little after the deadline. */
     Timers.Timer overdueTimer;
-    /** When it was admitted; the client was connected right before. */
-    long acceptedMicros;
-    /** Attempts that it may have in all. */
+    /** Time of the admission, right before which the client was still connected. */
+    long admittedMicros;
+    /** Limit on the number of attempts. */
     int maxAttempts;
-    /** The response is decided, or nobody waits for it any more. */
+    /** Whether the response is decided or no client waits for it any more. */
     boolean answered;
-    /** When the first ended attempt that may have been executed was written; {@code MAX_VALUE} while there is none. */
+    /** Write time of the first ended attempt that may have been executed; {@code MAX_VALUE} if there is none. */
     long mayHaveRunMicros = Long.MAX_VALUE;
-    /** The attempt whose response is streamed to the client; null until one has begun. */
+    /** The attempt whose response is streamed to the client; null if there is none. */
     Attempt streamingAttempt;
 
     private final Request request;
     private final Attempt.Factory attemptFactory;
     private final Responder responder;
-    /** Null where requests are not traced. */
+    /** Null if requests are not traced. */
     private final Trace trace;
 
     private final List<Attempt> attempts = new ArrayList<>(1);
 
-    /** A request that is not admitted yet; {@code trace} is null where requests are not traced. */
+    /** Creates an exchange that is not admitted yet; {@code trace} is null if requests are not traced. */
     public Exchange(
             Request request, long deadlineMicros, Attempt.Factory attemptFactory, Responder responder, Trace trace) {
         this.request = request;
@@ -46,24 +46,24 @@
         this.trace = trace;
     }
 
-    /** Gives the client its response. Exactly one of its first three methods is called, once, unless the client leaves. */
+    /** Responds to the client, by one call of one of its first three methods; by none if the client disconnects. */
     public interface Responder {
-        /** Responds with the upstream's body; takes the body over. */
+        /** Responds with the upstream's body and takes ownership of it. */
         void serve(ByteBuf body);
 
-        /** Responds that nothing was executed; Retry-After is in microseconds, 0 for none. */
+        /** Responds that the request was rejected, unexecuted; {@code retryAfterMicros} is 0 for no Retry-After. */
         void reject(long retryAfterMicros);
 
         /** Responds that the request failed. */
         void fail();
 
-        /** Looks at the socket once more: an event loop that stood still may not have read the connection's end yet. */
+        /** Whether the client has disconnected, after another read, as a stalled event loop may not have noticed. */
         default boolean isClientGone() {
             return false;
         }
     }
 
-    /** The request as the balancer sees it. */
+    /** The request as the balancer gets it. */
     public Request request() {
         return request;
     }
@@ -80,12 +80,15 @@
         return trace;
     }
 
-    /** All attempts so far; the index is the balancer's attempt number. */
+    /** All attempts so far, indexed by the balancer's attempt number. */
     List<Attempt> attempts() {
         return attempts;
     }
 
-    /** When the idempotency window closes, counted from the first attempt that may have been executed; else {@code MAX_VALUE}. */
+    /**
+     * End of the idempotency window, counted from the first attempt that may have been executed; {@code MAX_VALUE} if
+     * there is no such attempt or window.
+     */
     long sendBeforeMicros() {
         RequestClass requestClass = request.classAtAdmission();
         if (requestClass == null || requestClass.idempotency() != Idempotency.WITH_KEY) {
@@ -102,7 +105,7 @@
                 : earliestMicros + requestClass.idempotencyWindowMicros();
     }
 
-    /** Answered, with no attempt open: nothing about it can change any more. */
+    /** Whether the request is answered and has no open attempt, after which its state is final. */
     boolean isSettled() {
         return answered && hasNoOpenAttempt();
     }
--- a/src/main/java/loadbalancer/core/ListenSocket.java
+++ b/src/main/java/loadbalancer/core/ListenSocket.java
@@ -13,15 +13,16 @@
 import java.net.StandardSocketOptions;
 import java.util.function.Consumer;
 
-/** Opens listen sockets on the event loop, on request beside another process of the same sidecar. */
+/** Opens listen sockets on the event loop, optionally shared with another process of the same sidecar. */
 public final class ListenSocket {
     private ListenSocket() {}
 
     /**
-     * Listens for TCP connections; {@code accepted} sees each before anything is read from it. Blocks until bound.
+     * Listens for TCP connections. {@code onAccept} is called for each before anything is read from it. Blocks until
+     * bound.
      *
-     * @param backlog connections that the kernel queues until they are accepted
-     * @param shared  whether another process may listen there too (SO_REUSEPORT)
+     * @param backlog number of connections that the kernel queues until they are accepted
+     * @param shared  whether another process may listen on the address too (SO_REUSEPORT)
      * @throws InterruptedException if the thread is interrupted while it waits
      */
     public static <C extends ServerChannel> Channel bindTcp(
@@ -30,7 +31,7 @@
             int backlog,
             boolean shared,
             InetSocketAddress address,
-            Consumer<Channel> accepted)
+            Consumer<Channel> onAccept)
             throws InterruptedException {
         return reusePort(new ServerBootstrap(), shared)
                 .group(loop)
@@ -41,7 +42,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted.accept(channel);
+                        onAccept.accept(channel);
                     }
                 })
                 .bind(address)
@@ -49,7 +50,7 @@
                 .channel();
     }
 
-    /** Sets SO_REUSEPORT where {@code shared}; leaves the option unset otherwise. */
+    /** Sets SO_REUSEPORT if {@code shared}; leaves the option unset otherwise. */
     public static <B extends AbstractBootstrap<B, C>, C extends Channel> B reusePort(B bootstrap, boolean shared) {
         return shared ? bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true) : bootstrap;
     }
--- a/src/main/java/loadbalancer/core/Log.java
+++ b/src/main/java/loadbalancer/core/Log.java
@@ -6,26 +6,26 @@
 import loadbalancer.json.JsonObject;
 
 /**
- * Prints {@link LogEvent}s to standard error, each as its text or, where the operator's file says so, as a line of JSON.
- * Safe to call from any thread.
+ * Prints {@link LogEvent}s to standard error, each as its text or, if the operator's file says so, as a line of JSON.
+ * Thread-safe.
  */
 public final class Log {
-    /** Stack frames that a fault's text names. */
+    /** Number of stack frames in the text of a fault. */
     private static final int MAX_STACK_FRAMES = 4;
 
     private static volatile boolean jsonOutput;
-    /** Null until a thread diverts its events, which a serving sidecar never does. */
+    /** Null until a thread sets its sink, which a serving sidecar never does. */
     private static volatile ThreadLocal<Sink> threadSink;
 
     private Log() {}
 
-    /** Takes a thread's events in place of standard error. */
+    /** Receives the events of a thread instead of standard error. */
     public interface Sink {
         /** Called on the thread that emits the event. */
         void accept(LogEvent event);
     }
 
-    /** Whether events are printed as JSON from now on. */
+    /** Sets whether events are printed as JSON from now on. */
     public static void setJsonOutput(boolean on) {
         jsonOutput = on;
     }
@@ -38,7 +38,7 @@
         threadSink.set(sink);
     }
 
-    /** As {@link LogEvent#info}; {@code fields} are keys and values in turn. */
+    /** Emits a {@link LogEvent#info} event; {@code fields} are alternating keys and values. */
     public static void event(String name, String text, Object... fields) {
         LogEvent event = LogEvent.info(name);
         for (int i = 0; i + 1 < fields.length; i += 2) {
@@ -47,7 +47,7 @@
         event.message(text).emit();
     }
 
-    /** Reports a fault of this program with the innermost stack frames of its cause. */
+    /** Logs a fault of this program with the innermost stack frames of its cause. */
     public static void fault(String description, Throwable cause) {
         StringBuilder text = new StringBuilder(description).append(": ").append(cause);
         StackTraceElement[] frames = cause.getStackTrace();
--- a/src/main/java/loadbalancer/core/LogEvent.java
+++ b/src/main/java/loadbalancer/core/LogEvent.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * One event of the log: a name and fields for programs, a text for people. Built and emitted in one expression, {@code
- * LogEvent.info("disk").field("file", path).message("list not stored: " + path).emit()}. Never emitted for a single request.
+ * One log event: a name and fields for programs, a text for people. Built and emitted in one expression, {@code
+ * LogEvent.info("disk").field("file", path).message("list not stored: " + path).emit()}. Events are never emitted per
+ * request.
  */
 public final class LogEvent {
     private final String name;
@@ -19,17 +20,17 @@
         this.fault = fault;
     }
 
-    /** Starts an event that an operator should know of. */
+    /** Starts an informational event for operators. */
     public static LogEvent info(String name) {
         return new LogEvent(name, false);
     }
 
-    /** Starts an event for a fault of this program itself. */
+    /** Starts an event for a fault of this program. */
     public static LogEvent fault(String name) {
         return new LogEvent(name, true);
     }
 
-    /** Adds a field, after those added before; {@code value} is a string, a number, a boolean or null. */
+    /** Appends a field; {@code value} is a string, a number, a boolean or null. */
     public LogEvent field(String key, Object value) {
         fields.put(key, value);
         return this;
@@ -41,12 +42,12 @@
         return this;
     }
 
-    /** Hands the event to the current thread's sink, or prints it to standard error. */
+    /** Passes the event to the current thread's sink, or prints it to standard error if there is none. */
     public void emit() {
         Log.emit(this);
     }
 
-    /** What programs recognize the event by. */
+    /** Name by which programs recognize the event. */
     public String name() {
         return name;
     }
@@ -61,7 +62,7 @@
         return text;
     }
 
-    /** Keys and values in the order in which they were added. */
+    /** The fields, in the order in which they were added. */
     public Map<String, Object> fields() {
         return Collections.unmodifiableMap(fields);
     }
--- a/src/main/java/loadbalancer/core/LoopLatency.java
+++ b/src/main/java/loadbalancer/core/LoopLatency.java
@@ -1,49 +1,49 @@
 package loadbalancer.core;
 
 /**
- * Upper bound on the time for which data read now may have waited unread in the kernel: an event loop that is busy, or
- * has no CPU, reads nothing, and no clock of this process shows when the data arrived. Each turn of the loop waits for
- * events, handles them, then runs tasks. The bound counts from the last moment at which the loop is known to have looked
- * at its sockets: the first event of the previous turn if this turn did not sleep, else the first event of this turn. No
- * I/O; times are {@link System#nanoTime} nanoseconds.
+ * Computes an upper bound on the time for which data read now was in the kernel's buffer. An event loop that is busy or
+ * has no CPU reads nothing, and no clock of this process shows when the data arrived. Each iteration of the loop waits
+ * for events, handles them, then runs tasks. The bound counts from the last time at which the loop is known to have
+ * polled its sockets: the first event of the previous iteration if this one did not sleep, else the first event of this
+ * one. No I/O; times are {@link System#nanoTime} nanoseconds.
  */
 public final class LoopLatency {
-    /** A turn whose first event comes within this time has not slept: the event was there before the turn. */
+    /** An iteration whose first event is handled within this time did not sleep: the event was there before it. */
     private static final long MAX_AWAKE_NANOS = 1_000_000;
 
     private static final long NONE = Long.MIN_VALUE;
 
-    private long turnStartNanos = NONE;
-    /** When the first event of this turn was handled. */
+    private long iterationStartNanos = NONE;
+    /** Time at which the first event of this iteration was handled. */
     private long firstEventNanos = NONE;
-    /** The same for the previous turn. */
+    /** Time at which the first event of the previous iteration was handled. */
     private long previousFirstEventNanos = NONE;
 
-    /** A turn of the loop begins. */
-    void turnStarted(long nowNanos) {
+    /** Records the start of an iteration. */
+    void iterationStarted(long nowNanos) {
         previousFirstEventNanos = firstEventNanos;
         firstEventNanos = NONE;
-        turnStartNanos = nowNanos;
+        iterationStartNanos = nowNanos;
     }
 
-    /** All events of this turn are handled; its tasks come next. */
-    void turnEventsHandled(long nowNanos) {
+    /** Records that all events of this iteration were handled and its tasks are next. */
+    void iterationEventsHandled(long nowNanos) {
         eventHandled(nowNanos);
     }
 
-    /** An event is being handled. */
+    /** Records that an event is being handled. */
     public void eventHandled(long nowNanos) {
         if (firstEventNanos == NONE) {
             firstEventNanos = nowNanos;
         }
     }
 
-    /** Upper bound, in nanoseconds, for data that is read now; 0 while nothing is known. */
+    /** The bound, in nanoseconds, for data that is read now; 0 before the first event. */
     public long maxUnreadNanos(long nowNanos) {
-        if (firstEventNanos == NONE || turnStartNanos == NONE) {
+        if (firstEventNanos == NONE || iterationStartNanos == NONE) {
             return 0;
         }
-        boolean slept = firstEventNanos - turnStartNanos > MAX_AWAKE_NANOS;
+        boolean slept = firstEventNanos - iterationStartNanos > MAX_AWAKE_NANOS;
         return Math.max(
                 0, nowNanos - (slept || previousFirstEventNanos == NONE ? firstEventNanos : previousFirstEventNanos));
     }
--- a/src/main/java/loadbalancer/core/RequestClasses.java
+++ b/src/main/java/loadbalancer/core/RequestClasses.java
@@ -9,12 +9,12 @@
 import loadbalancer.balancing.Balancer.RequestClass;
 
 /**
- * The request classes, which a new configuration may replace. Clients change over later than the sidecar: during the
- * transition a request is bound to whichever of the previous and the current class it fits, and where it fits both, to
- * the most restrictive combination. No I/O; time is a parameter.
+ * The request classes, which a configuration reload may replace. Clients switch to new classes later than the sidecar,
+ * so during a transition a request is bound to whichever of the previous and the current class it matches; if it
+ * matches both, to the most restrictive combination. No I/O; time is a parameter.
  */
 public final class RequestClasses {
-    /** For so long after a replacement the previous classes still bind: clients change over 1.2 s after the signal, and requests may be late. */
+    /** Time for which replaced classes stay valid. Clients switch 1.2 s after the signal, and requests may be late. */
     public static final long TRANSITION_MICROS = 2_000_000;
 
     private final Map<String, RequestClass> initial;
@@ -22,7 +22,7 @@
     private Map<String, RequestClass> previous = Map.of();
     private long previousUntilMicros;
 
-    /** Starts with these classes. */
+    /** Starts with the classes of the initial configuration. */
     public RequestClasses(List<RequestClass> classes) {
         current = indexByName(classes);
         initial = current;
@@ -34,7 +34,7 @@
         return map;
     }
 
-    /** Replaces the classes; those before stay valid for the transition. */
+    /** Replaces the classes. The previous ones stay valid for {@link #TRANSITION_MICROS}. */
     public void replace(long nowMicros, List<RequestClass> next) {
         Map<String, RequestClass> before = new HashMap<>(nowMicros < previousUntilMicros ? previous : Map.of());
         before.putAll(current);
@@ -43,18 +43,18 @@
         current = indexByName(next);
     }
 
-    /** The class of this name that the request fits; null where there is none. */
-    public RequestClass bind(long nowMicros, String name, Predicate<RequestClass> fits) {
+    /** The class of this name that the request matches; null if there is none. */
+    public RequestClass bind(long nowMicros, String name, Predicate<RequestClass> matches) {
         RequestClass requestClass = current.get(name);
         RequestClass previousClass = nowMicros < previousUntilMicros ? previous.get(name) : null;
-        boolean fitsNow = requestClass != null && fits.test(requestClass);
-        if (previousClass == null || previousClass.equals(requestClass) || !fits.test(previousClass)) {
-            return fitsNow ? requestClass : null;
+        boolean matchesCurrent = requestClass != null && matches.test(requestClass);
+        if (previousClass == null || previousClass.equals(requestClass) || !matches.test(previousClass)) {
+            return matchesCurrent ? requestClass : null;
         }
-        return fitsNow ? mostRestrictive(requestClass, previousClass) : previousClass;
+        return matchesCurrent ? mostRestrictive(requestClass, previousClass) : previousClass;
     }
 
-    /** What both allow: retries only where both allow the same ones. */
+    /** Combines two versions of a class. Retries are allowed only if both versions allow them in the same way. */
     private static RequestClass mostRestrictive(RequestClass requestClass, RequestClass previousClass) {
         boolean same = requestClass.idempotency() == previousClass.idempotency()
                 && (requestClass.idempotency() != Idempotency.WITH_KEY
@@ -72,12 +72,12 @@
                 requestClass.streaming());
     }
 
-    /** The current class of this name, or the one at the start if the name is gone. */
+    /** The current class of this name, or the one of the initial configuration if the current one lacks it. */
     public RequestClass latest(String name) {
         return current.getOrDefault(name, initial.get(name));
     }
 
-    /** Longest deadline of any class in force, in microseconds: no client waits longer for a response. */
+    /** Longest deadline of all valid classes, in microseconds. No client waits longer for a response. */
     public long longestDeadlineMicros(long nowMicros) {
         long longestMicros = 0;
         for (RequestClass requestClass : current.values()) {
--- a/src/main/java/loadbalancer/core/Requests.java
+++ b/src/main/java/loadbalancer/core/Requests.java
@@ -14,13 +14,13 @@
 import loadbalancer.trace.Tracer;
 
 /**
- * The requests in flight. Each is given to the balancer, carried through the attempts that the balancer decides on, and
- * answered exactly once. Event loop only.
+ * The requests in flight. Each is passed to the balancer, forwarded in the attempts that the balancer decides on, and
+ * answered exactly once. Must be used on the event loop only.
  */
 public final class Requests {
-    /** The balancer answers at the deadline, when attempts time out; a request still open so much later is failed here. */
+    /** Time after the deadline at which a request fails that the balancer has not answered at the deadline. */
     private static final long OVERDUE_MICROS = 2_000;
-    /** A client that has waited for so long may have left unseen: its connection is checked before anything more is sent. */
+    /** Waiting time after which the client's connection is checked for a disconnect before another attempt is sent. */
     private static final long CLIENT_CHECK_MICROS = 100_000;
 
     private final Timers timers;
@@ -29,14 +29,14 @@
     private final AttemptListener attemptListener;
     private final Metrics metrics;
     private final Map<String, Exchange> exchanges = new HashMap<>();
-    /** For requests that are admitted from now on. */
+    /** Limit on attempts for each request that is admitted from now on. */
     private int maxAttempts;
-    /** Null where requests are not traced. */
+    /** Null if requests are not traced. */
     private Tracer tracer;
-    /** Null where requests are not traced. */
+    /** Null if requests are not traced. */
     private LoopLatency latency;
 
-    /** No requests yet; each admitted one may have up to {@code maxAttempts} attempts. */
+    /** Starts without requests; each admitted request may have up to {@code maxAttempts} attempts. */
     public Requests(
             Timers timers,
             Clock clock,
@@ -52,18 +52,18 @@
         this.metrics = metrics;
     }
 
-    /** Is notified of each attempt, when it is made and when it has ended. */
+    /** Listens to the creation and the end of each attempt. */
     public interface AttemptListener {
-        /** The attempt was made; it is not started yet. */
+        /** Called when the attempt was created, before it is started or dropped. */
         void attemptStarted(Request request, Attempt attempt);
 
-        /** The attempt ended; {@code report} is the upstream's load report, null where its response carried none. */
+        /** Called when the attempt has ended; {@code report} is null if the response had no load report. */
         void attemptEnded(Request request, Attempt attempt, Outcome outcome, LoadReport report);
     }
 
     /**
-     * Traces requests that are admitted from now on with {@code newTracer}, or none where it is null. {@code
-     * latencyConsumer} gets the latency measure that the event loop is to feed, or null.
+     * Sets the tracer of requests that are admitted from now on; null ends tracing. {@code latencyConsumer} receives
+     * the latency measure that the event loop has to update, or null.
      */
     public void setTracer(Tracer newTracer, Consumer<LoopLatency> latencyConsumer) {
         tracer = newTracer;
@@ -71,60 +71,60 @@
         latencyConsumer.accept(latency);
     }
 
-    /** The measure of the loop's latency; null where requests are not traced. */
+    /** The measure of the event loop's latency; null if requests are not traced. */
     public LoopLatency latency() {
         return latency;
     }
 
-    /** Notes that data which was read is being handled. */
+    /** Records that the event loop handles an event, for the latency measure. */
     public void eventHandled() {
         if (latency != null) {
             latency.eventHandled(System.nanoTime());
         }
     }
 
-    /** Upper bound on the time for which a request that is being read may have waited unread, in microseconds. */
+    /** Upper bound on the time for which data that is read now was in the kernel's buffer, in microseconds. */
     public long maxUnreadMicros() {
         return latency == null ? 0 : latency.maxUnreadNanos(System.nanoTime()) / 1_000;
     }
 
-    /** For the front ends, which know their clients' trace context; null where requests are not traced. */
+    /** The tracer, for front ends, which know the trace context of their clients; null if requests are not traced. */
     public Tracer tracer() {
         return tracer;
     }
 
-    /** Number of requests that are not answered yet or have an open attempt. */
+    /** Number of requests that are unanswered or have an open attempt. */
     public int inFlight() {
         return exchanges.size();
     }
 
-    /** Whether a request of this id is in flight. */
+    /** Whether a request with this id is in flight. */
     public boolean contains(String id) {
         return exchanges.containsKey(id);
     }
 
-    /** Sets the attempts that a request may have, for requests that are admitted from now on. */
+    /** Sets the limit on attempts of each request that is admitted from now on. */
     public void setMaxAttempts(int maxAttemptsPerRequest) {
         maxAttempts = maxAttemptsPerRequest;
     }
 
-    /** For the front ends, which answer some requests without admitting them. */
+    /** The metrics, for front ends, which answer some requests without admitting them. */
     public Metrics metrics() {
         return metrics;
     }
 
-    /** Admits a request whose id is not in flight; the balancer decides about it, perhaps before this returns. */
+    /** Admits a request whose id is not in flight. The balancer may decide on it before this method returns. */
     public void admit(Exchange exchange) {
         metrics.requestAdmitted();
         exchange.maxAttempts = maxAttempts;
-        exchange.acceptedMicros = clock.nowMicros();
+        exchange.admittedMicros = clock.nowMicros();
         exchanges.put(exchange.request().id(), exchange);
         exchange.overdueTimer = timers.schedule(
                 exchange.deadlineMicros + OVERDUE_MICROS - clock.nowMicros(), () -> failOverdue(exchange));
         dispatcher.call(balancer -> balancer.onRequest(clock.nowMicros(), exchange.request()), () -> fail(exchange));
     }
 
-    /** The last byte of its body has come after its admission: its time runs from there. */
+    /** Sets the deadline of a request whose body was completed after its admission; the time counts from there. */
     public void bodyComplete(Exchange exchange, long deadlineMicros) {
         if (!exchange.answered) {
             exchange.deadlineMicros = deadlineMicros;
@@ -134,26 +134,26 @@
         }
     }
 
-    /** The client has left: there is no response, no further attempt, and open attempts end by themselves. */
+    /** Ends a request whose client has disconnected: no response, no new attempts; attempts already sent run on. */
     public void clientLeft(Exchange exchange) {
         endWithoutResponse(exchange, RequestResult.LEFT);
     }
 
-    /** The front end itself has responded that the request failed. */
+    /** Ends a request to which the front end itself has responded with an error. */
     public void failedByFrontEnd(Exchange exchange) {
         endWithoutResponse(exchange, RequestResult.FAILED);
     }
 
-    private void endWithoutResponse(Exchange exchange, RequestResult ending) {
+    private void endWithoutResponse(Exchange exchange, RequestResult result) {
         if (!exchange.answered) {
-            finish(exchange, ending, 0);
+            finish(exchange, result, 0);
             notifyExpired(exchange);
-            withdrawAttempts(exchange);
+            cancelUnsentAttempts(exchange);
         }
     }
 
-    /** An attempt that waits for its connection must not be written once its request is answered. */
-    private void withdrawAttempts(Exchange exchange) {
+    /** Cancels attempts that still wait for a connection, as nothing must be sent for an answered request. */
+    private void cancelUnsentAttempts(Exchange exchange) {
         for (Attempt attempt : List.copyOf(exchange.attempts())) {
             if (!attempt.hasEnded()) {
                 attempt.cancelIfUnsent();
@@ -175,7 +175,7 @@
                 () -> {});
     }
 
-    /** After the balancer failed it may have forgotten requests without an open attempt: fails all of these. */
+    /** Fails all requests without an open attempt. Called after a defect of the balancer, which may have lost them. */
     public void failRequestsWithoutOpenAttempt() {
         for (Exchange exchange : List.copyOf(exchanges.values())) {
             if (exchange.hasNoOpenAttempt()) {
@@ -184,24 +184,29 @@
         }
     }
 
-    /** Sends an attempt to an upstream, to be abandoned at {@code untilMicros} or, with 0, at the deadline. No effect for an unknown id. */
+    /**
+     * Sends an attempt to an upstream. It is abandoned at {@code untilMicros}, or at the request's deadline if
+     * {@code untilMicros} is 0 or later than that. No effect if the request is not in flight.
+     */
     public void send(String id, String upstream, long untilMicros) {
         Exchange exchange = exchanges.get(id);
         if (exchange == null) {
             return;
         }
         int number = exchange.attempts().size();
-        long giveUpMicros = untilMicros <= 0 ? exchange.deadlineMicros : Math.min(untilMicros, exchange.deadlineMicros);
+        long attemptDeadlineMicros =
+                untilMicros <= 0 ? exchange.deadlineMicros : Math.min(untilMicros, exchange.deadlineMicros);
         if (exchange.trace() != null) {
             exchange.trace().attemptStarted(upstream);
         }
-        boolean moot = number >= exchange.maxAttempts || giveUpMicros <= clock.nowMicros() || !isWanted(exchange);
-        Attempt attempt =
-                exchange.attemptFactory().create(upstream, giveUpMicros, new AttemptProgress(exchange, number));
+        boolean dropped =
+                number >= exchange.maxAttempts || attemptDeadlineMicros <= clock.nowMicros() || !isWanted(exchange);
+        Attempt attempt = exchange.attemptFactory()
+                .create(upstream, attemptDeadlineMicros, new AttemptObserver(exchange, number));
         attempt.sendBefore(exchange.sendBeforeMicros());
         exchange.attempts().add(attempt);
         attemptListener.attemptStarted(exchange.request(), attempt);
-        if (moot) {
+        if (dropped) {
             attempt.drop();
         } else {
             attempt.start();
@@ -210,7 +215,7 @@
 
     private boolean isWanted(Exchange exchange) {
         if (!exchange.answered
-                && clock.nowMicros() - exchange.acceptedMicros >= CLIENT_CHECK_MICROS
+                && clock.nowMicros() - exchange.admittedMicros >= CLIENT_CHECK_MICROS
                 && exchange.responder().isClientGone()) {
             clientLeft(exchange);
         }
@@ -227,12 +232,12 @@
             exchange.trace().attemptEnded(number, outcome, attempt.writtenMicros(), attempt.openedConnection(), report);
         }
         if (exchange.streamingAttempt == attempt && !exchange.answered) {
-            // The end of the stream was the response.
+            // The response was streamed to the client and has ended.
             finish(exchange, outcome == Outcome.OK ? RequestResult.SERVED : RequestResult.FAILED, 0);
         } else if (outcome == Outcome.OK && !exchange.answered) {
             finish(exchange, RequestResult.SERVED, 0);
             exchange.responder().serve(body.retain());
-            withdrawAttempts(exchange);
+            cancelUnsentAttempts(exchange);
         }
         attemptListener.attemptEnded(exchange.request(), attempt, outcome, report);
         removeIfSettled(exchange);
@@ -282,17 +287,17 @@
         }
     }
 
-    /** Answers that the request was rejected, with a Retry-After in microseconds, 0 for none. No effect once it is answered. */
+    /** Rejects a request; {@code retryAfterMicros} is 0 for no Retry-After. No effect if it is already answered. */
     public void reject(String id, long retryAfterMicros) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.answered) {
             finish(exchange, RequestResult.REFUSED, retryAfterMicros);
             exchange.responder().reject(retryAfterMicros);
-            withdrawAttempts(exchange);
+            cancelUnsentAttempts(exchange);
         }
     }
 
-    /** Answers that the request failed. No effect once it is answered. */
+    /** Fails a request. No effect if it is already answered. */
     public void fail(String id) {
         if (exchanges.containsKey(id)) {
             fail(exchanges.get(id));
@@ -303,11 +308,11 @@
         if (!exchange.answered) {
             finish(exchange, RequestResult.FAILED, 0);
             exchange.responder().fail();
-            withdrawAttempts(exchange);
+            cancelUnsentAttempts(exchange);
         }
     }
 
-    /** Abandons an attempt, which is numbered from 0. No effect once it has ended. */
+    /** Abandons an attempt, by its number from 0 on. No effect if it has ended. */
     public void cancel(String id, int attempt) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && attempt >= 0 && attempt < exchange.attempts().size()) {
@@ -318,18 +323,18 @@
         }
     }
 
-    private void finish(Exchange exchange, RequestResult ending, long retryAfterMicros) {
+    private void finish(Exchange exchange, RequestResult result, long retryAfterMicros) {
         exchange.answered = true;
         metrics.requestCompleted(
                 exchange.request().requestClass(),
-                switch (ending) {
+                switch (result) {
                     case SERVED -> RequestOutcome.SERVED;
                     case REFUSED -> RequestOutcome.REJECTED;
                     case FAILED -> RequestOutcome.FAILED;
                     case LEFT -> RequestOutcome.CANCELLED;
                 });
         if (exchange.trace() != null) {
-            exchange.trace().answered(ending, retryAfterMicros);
+            exchange.trace().answered(result, retryAfterMicros);
         }
         exchange.overdueTimer.cancel();
         removeIfSettled(exchange);
@@ -344,12 +349,12 @@
         }
     }
 
-    /** Follows one attempt of an exchange. */
-    private final class AttemptProgress implements Attempt.Listener {
+    /** Listens to one attempt of an exchange. */
+    private final class AttemptObserver implements Attempt.Listener {
         private final Exchange exchange;
         private final int number;
 
-        AttemptProgress(Exchange exchange, int number) {
+        AttemptObserver(Exchange exchange, int number) {
             this.exchange = exchange;
             this.number = number;
         }
--- a/src/main/java/loadbalancer/core/Timers.java
+++ b/src/main/java/loadbalancer/core/Timers.java
@@ -4,18 +4,18 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Schedules tasks on the one thread that owns a sidecar: its event loop, or the simulation's virtual time. */
+/** Schedules tasks on a sidecar's single thread: its event loop, or the simulation's in virtual time. */
 public interface Timers {
-    /** A task that is still to run. */
+    /** A scheduled task. */
     interface Timer {
-        /** Prevents the task from running; no effect once it has run. */
+        /** Cancels the task; no effect if it has run. */
         void cancel();
     }
 
-    /** Runs the task in so many microseconds; one that is due or overdue runs soon, never within this call. */
+    /** Runs the task after the delay. With a delay of 0 or less it runs soon, but never within this call. */
     Timer schedule(long delayMicros, Runnable task);
 
-    /** Timers on {@code loop}. */
+    /** Timers that run on {@code loop}. */
     static Timers onEventLoop(EventLoop loop) {
         return (delayMicros, task) -> {
             Future<?> future = loop.schedule(task, delayMicros, TimeUnit.MICROSECONDS);
--- a/src/test/java/loadbalancer/core/BackoffTest.java
+++ b/src/test/java/loadbalancer/core/BackoffTest.java
@@ -9,7 +9,7 @@
     private static final long SECOND = 1_000_000;
 
     @Test
-    void growsWithJitterAndResets() {
+    void delayDoublesWithJitterUpToTheMaximumUntilReset() {
         Backoff backoff = new Backoff(SECOND, 8 * SECOND, 3);
         long maxMicros = SECOND;
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/loadbalancer/core/EventLoopsTest.java
+++ b/src/test/java/loadbalancer/core/EventLoopsTest.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** The event loop sleeps until a timer is due, in place of spinning for the last part of a millisecond. */
+/** The event loop sleeps until a timer is due instead of spinning for the last fraction of a millisecond. */
 class EventLoopsTest {
     private static final int TIMERS = 300;
 
-    /** The time for which Netty's selector sleeps with this delay, milliseconds. */
+    /** Time for which Netty's selector sleeps for this delay, in milliseconds. */
     private static long sleepMillis(long delayNanos) {
         return (EventLoops.roundUpToMillis(delayNanos) + 500_000) / 1_000_000;
     }
@@ -34,29 +34,29 @@
         assertEquals(Long.MAX_VALUE, EventLoops.roundUpToMillis(Long.MAX_VALUE));
     }
 
-    /** Between two timers 1.4 ms apart a loop that sleeps turns a few times, one that spins a hundred times and more. */
+    /** Between two timers 1.4 ms apart, a loop that sleeps iterates a few times and one that spins over 100 times. */
     @Test
     void loopSleepsBeforeATimer() throws Exception {
         // given
-        AtomicInteger turns = new AtomicInteger();
+        AtomicInteger iterations = new AtomicInteger();
         IoHandlerFactory nio = NioIoHandler.newFactory();
         MultiThreadIoEventLoopGroup group = EventLoops.single(executor -> (IoHandler) Proxy.newProxyInstance(
                 IoHandler.class.getClassLoader(),
                 new Class<?>[] {IoHandler.class},
-                countingTurns(nio.newHandler(executor), turns)));
+                countingIterations(nio.newHandler(executor), iterations)));
         // when
         for (int i = 0; i < TIMERS; i++) {
             group.next().schedule(() -> {}, 1_400, TimeUnit.MICROSECONDS).sync();
         }
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         // then
-        assertTrue(turns.get() < 10 * TIMERS, turns + " turns for " + TIMERS + " timers");
+        assertTrue(iterations.get() < 10 * TIMERS, iterations + " iterations for " + TIMERS + " timers");
     }
 
-    private static InvocationHandler countingTurns(IoHandler handler, AtomicInteger turns) {
+    private static InvocationHandler countingIterations(IoHandler handler, AtomicInteger iterations) {
         return (proxy, method, arguments) -> {
             if (method.getName().equals("run")) {
-                turns.incrementAndGet();
+                iterations.incrementAndGet();
             }
             return method.invoke(handler, arguments);
         };
--- a/src/test/java/loadbalancer/core/LogTest.java
+++ b/src/test/java/loadbalancer/core/LogTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.parallel.ResourceLock;
 import org.junit.jupiter.api.parallel.Resources;
 
-/** Events are printed as text for people, or as lines of JSON, unless their thread has a sink of its own. */
+/** Events are printed as plain text or as lines of JSON, unless their thread has a sink. */
 @ResourceLock(Resources.SYSTEM_ERR)
 class LogTest {
     private static String printedBy(Runnable action) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void eventIsPrintedAsJsonWhereThatIsSet() {
+    void eventIsPrintedAsJsonIfConfigured() {
         // given
         Log.setJsonOutput(true);
         try {
@@ -76,25 +76,25 @@
         }
     }
 
-    /** Simulations run beside each other, each on its thread: none may get another's events. */
+    /** Simulations run in parallel, each on its own thread, and must not get each other's events. */
     @Test
-    void divertedThreadsEventsGoToItsSinkOnly() throws Exception {
+    void eventsOfAThreadWithASinkGoToThatSinkOnly() throws Exception {
         // given
-        List<String> mine = new ArrayList<>();
-        Log.setThreadSink(event -> mine.add(event.name() + " " + event.text() + " " + event.isFault()));
+        List<String> received = new ArrayList<>();
+        Log.setThreadSink(event -> received.add(event.name() + " " + event.text() + " " + event.isFault()));
         // when
         try {
-            Thread other = new Thread(() -> Log.event("theirs", "not for this list"));
+            Thread other = new Thread(() -> Log.event("other", "event of another thread"));
             other.start();
             other.join();
-            Log.event("mine", "for this list");
+            Log.event("own", "event of this thread");
             Log.fault("bad", new RuntimeException());
         } finally {
             Log.setThreadSink(null);
         }
         // then
-        assertEquals("mine for this list false", mine.get(0));
-        assertTrue(mine.get(1).startsWith("fault bad: ") && mine.get(1).endsWith("true"), mine.toString());
-        assertEquals(2, mine.size());
+        assertEquals("own event of this thread false", received.get(0));
+        assertTrue(received.get(1).startsWith("fault bad: ") && received.get(1).endsWith("true"), received.toString());
+        assertEquals(2, received.size());
     }
 }
--- a/src/test/java/loadbalancer/core/RequestClassesTest.java
+++ b/src/test/java/loadbalancer/core/RequestClassesTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.balancing.Balancer.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** A replaced class binds during the transition, and what both allow where a request fits both. */
+/** A replaced class stays valid during the transition; a request that matches both versions gets their combination. */
 class RequestClassesTest {
     private static final long NOW_MICROS = 1_000_000_000L;
     private static final long TRANSITION_END_MICROS = NOW_MICROS + RequestClasses.TRANSITION_MICROS;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void newClassBindsAtOnceAndRemovedClassDuringTheTransition() {
+    void newClassIsValidAtOnceAndRemovedClassUntilTheEndOfTheTransition() {
         // given
         RequestClasses classes = classes(IDEMPOTENT);
         assertNull(classes.bind(NOW_MICROS, "b", candidate -> true));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void requestIsBoundToTheOneVersionThatItFitsDuringTheTransition() {
+    void requestIsBoundToTheVersionThatItMatchesDuringTheTransition() {
         // given
         RequestClasses classes = classes(IDEMPOTENT);
         // when
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void requestThatFitsBothVersionsMayOnlyBeRetriedWhereBothAllowIt() {
+    void requestThatMatchesBothVersionsMayOnlyBeRetriedIfBothAllowIt() {
         // given
         RequestClasses classes = classes(WITH_KEY);
         // when
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void requestThatFitsBothVersionsIsNotRetriedWhereTheirScopesDiffer() {
+    void requestThatMatchesBothVersionsIsNotRetriedIfTheirScopesDiffer() {
         // given
         RequestClasses classes = classes(WITH_KEY);
         // when
