--- a/src/main/java/loadbalancer/handover/HandoverFolder.java
+++ b/src/main/java/loadbalancer/handover/HandoverFolder.java
@@ -17,20 +17,20 @@
 import loadbalancer.membership.OutOfServiceUpstreams;
 
 /**
- * The folder that both processes of an upgrade share: a state file, and two locks. The process that serves holds the first lock; one
- * that starts meanwhile holds the second, by which the older one knows of its successor. Files are read and written on a thread of the
- * folder's own, except by {@link #open}, {@link #hasSuccessor} and {@link #read}. A state file that can't be used counts as none, and is
- * logged.
+ * The folder that both processes of an upgrade share, with a state file and two lock files. The serving process holds
+ * the first lock. A process that starts meanwhile holds the second, by which the older process detects its successor.
+ * Files are accessed on the folder's own thread, except by {@link #open}, {@link #hasSuccessor} and {@link #read}. An
+ * unusable state file is logged and ignored.
  */
 public final class HandoverFolder implements AutoCloseable {
-    /** Between polls of the state file and the locks: a change in one process has to be in force in the other within a second. */
+    /** Interval between polls of the state file and the locks. A change must reach the other process within 1 s. */
     private static final long POLL_MILLIS = 250;
-    /** Longest wait for the state file's lock: callers wait 1 s for their answer. */
+    /** Longest wait for the state file's lock. Callers wait 1 s for a response. */
     private static final long LOCK_TIMEOUT_MILLIS = 500;
 
     private static final long LOCK_RETRY_NANOS = 1_000_000;
     private static final int NANOS_PER_MILLI = 1_000_000;
-    /** Writes that wait for the disk at the same time. */
+    /** Limit on writes that are queued. */
     private static final int MAX_QUEUED_WRITES = 64;
 
     private static final long CLOSE_TIMEOUT_SECONDS = 5;
@@ -41,9 +41,9 @@
     private final Path servingFile;
     private final Path successorFile;
     private final ScheduledThreadPoolExecutor executor;
-    /** Null while another process serves. Set on this folder's thread, read by the one that ends the program. */
+    /** Null while another process serves. Set on the folder's thread, read on the thread that ends the process. */
     private volatile ProcessLock servingLock;
-    /** Null unless this process is the successor of the one that serves. */
+    /** Null unless this process is the successor of the serving one. */
     private ProcessLock successorLock;
 
     private FileTime lastModified;
@@ -51,9 +51,10 @@
     private OutOfServiceUpstreams.Snapshot lastRead = OutOfServiceUpstreams.Snapshot.EMPTY;
 
     /**
-     * A folder of which no file is touched yet.
+     * Creates an instance without accessing any file.
      *
-     * @param sidecar name of the sidecar; its files' names have it, with other characters than letters and digits replaced
+     * @param sidecar name of the sidecar, which the file names contain; characters other than A-Z, a-z, 0-9, _ and -
+     *                are replaced
      */
     public HandoverFolder(Path folder, String sidecar) {
         this.folder = folder;
@@ -71,7 +72,7 @@
         return thread;
     }
 
-    /** Takes a lock, on the caller's thread, before any other call; true where no other process of the sidecar serves. */
+    /** Acquires a lock on the caller's thread; called first. Returns whether no other process of the sidecar serves. */
     public boolean open() {
         servingLock = ProcessLock.tryAcquire(servingFile).orElse(null);
         if (servingLock == null) {
@@ -80,7 +81,7 @@
         return servingLock != null;
     }
 
-    /** Whether this process serves and a newer one has started. Any thread. */
+    /** Whether this process serves and a newer one has started. May be called on any thread. */
     public boolean hasSuccessor() {
         if (servingLock == null) {
             return false;
@@ -90,38 +91,39 @@
         return free.isEmpty() && Files.exists(successorFile);
     }
 
-    /** The upstreams that the state file has; those that were read last where it can't be used, so that no damage returns one. */
+    /**
+     * Reads the state file. If it can't be used, returns the last state that was read, so that a damaged file puts no
+     * upstream back into service.
+     */
     public synchronized OutOfServiceUpstreams.Snapshot read() {
         try {
             if (Files.size(stateFile) > HandoverState.MAX_BYTES) {
-                throw new IOException("it is too large");
+                throw new IOException("state file is larger than 4 MiB");
             }
             lastRead =
                     HandoverState.decode(Files.readAllBytes(stateFile), sidecar).outOfService();
         } catch (NoSuchFileException exception) {
             // Nothing has been written yet.
         } catch (IOException exception) {
-            Log.event(
-                    "handover.state.read.failed",
-                    "handover state of another process ignored: " + exception.getMessage());
+            Log.event("handover.state.read.failed", "ignoring the handover state file: " + exception.getMessage());
         }
         return lastRead;
     }
 
     /**
-     * Watches the folder from now on. Both callbacks run on this folder's thread.
+     * Starts to poll the folder. Both callbacks run on the folder's thread.
      *
-     * @param onChange       receives what another process has written
-     * @param onOnlyProcess runs once, when the other process has ended
+     * @param onChange            receives the state that another process has written
+     * @param onOtherProcessEnded runs once, when the other process has ended
      */
-    public void watch(Consumer<OutOfServiceUpstreams.Snapshot> onChange, Runnable onOnlyProcess) {
+    public void watch(Consumer<OutOfServiceUpstreams.Snapshot> onChange, Runnable onOtherProcessEnded) {
         Runnable poll = () -> {
             try {
                 pollStateFile(onChange);
-                pollLocks(onOnlyProcess);
+                pollLocks(onOtherProcessEnded);
             } catch (RuntimeException exception) {
-                // A periodic task that throws is not run again.
-                Log.fault("the handover failed", exception);
+                // The executor would not repeat a task that throws.
+                Log.fault("polling the handover folder failed", exception);
             }
         };
         executor.scheduleWithFixedDelay(poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
@@ -141,7 +143,7 @@
         }
     }
 
-    private void pollLocks(Runnable onOnlyProcess) {
+    private void pollLocks(Runnable onOtherProcessEnded) {
         if (servingLock != null) {
             return;
         }
@@ -149,9 +151,9 @@
         if (servingLock != null) {
             release(successorLock);
             successorLock = null;
-            onOnlyProcess.run();
+            onOtherProcessEnded.run();
         } else if (successorLock == null) {
-            // Another newer process may have stood between the oldest and this one, and have ended.
+            // Another successor may have held this lock until it ended.
             successorLock = ProcessLock.tryAcquire(successorFile).orElse(null);
         }
     }
@@ -159,9 +161,9 @@
     /**
      * Changes the state file.
      *
-     * @param change what becomes of the state in the file
-     * @param done   receives the new state on this folder's thread; on the caller's, without a write, where too many wait or the folder
-     *               is closed
+     * @param change computes the new state from the state in the file
+     * @param done   receives the new state on the folder's thread; on the caller's thread, without a write, if too many
+     *               writes are queued or the folder is closed
      */
     public void write(
             UnaryOperator<OutOfServiceUpstreams.Snapshot> change, Consumer<OutOfServiceUpstreams.Snapshot> done) {
@@ -172,7 +174,7 @@
                 return;
             }
         } catch (RejectedExecutionException exception) {
-            // Closed: the program is about to end.
+            // The folder is closed, as the process is about to exit.
         }
         done.accept(change.apply(read()));
     }
@@ -181,7 +183,7 @@
         ProcessLock lock = awaitLock(stateFile.resolveSibling(stateFile.getFileName() + ".lock"));
         try {
             if (lock == null) {
-                throw new IOException("the other process does not release it");
+                throw new IOException("the other process holds the lock of the state file");
             }
             OutOfServiceUpstreams.Snapshot snapshot = change.apply(read());
             Path temporary = stateFile.resolveSibling(stateFile.getFileName() + ".new");
@@ -191,19 +193,19 @@
         } catch (IOException exception) {
             Log.event(
                     "handover.state.write.failed",
-                    "handover state in " + folder + " not written, the change holds for this process alone: "
+                    "handover state in " + folder + " not written, the change applies to this process only: "
                             + exception);
             return change.apply(read());
         } finally {
             release(lock);
             if (!executor.getQueue().isEmpty()) {
-                // The other process retries each millisecond; without a pause this one would take the lock again first.
+                // The other process retries every millisecond; without a pause this one would get the lock again first.
                 LockSupport.parkNanos(2 * LOCK_RETRY_NANOS);
             }
         }
     }
 
-    /** Null where the lock is not to be had; another process holds it for as long as a small write takes. */
+    /** Acquires a lock that another process holds for the time of a small write; null after a timeout. */
     private static ProcessLock awaitLock(Path file) {
         long deadlineNanos = System.nanoTime() + LOCK_TIMEOUT_MILLIS * NANOS_PER_MILLI;
         Optional<ProcessLock> lock = ProcessLock.tryAcquire(file);
@@ -220,12 +222,12 @@
         }
     }
 
-    /** Waits after {@link #close}, for 5 s at most, until no file is touched any more; false where that takes longer. */
+    /** Waits up to 5 s after {@link #close} until files are no longer accessed. Returns false on a timeout. */
     public boolean awaitTermination() throws InterruptedException {
         return executor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Releases both locks and ends the watch. */
+    /** Releases both locks and stops polling. */
     @Override
     public void close() {
         executor.shutdownNow();
--- a/src/main/java/loadbalancer/handover/HandoverState.java
+++ b/src/main/java/loadbalancer/handover/HandoverState.java
@@ -9,13 +9,13 @@
 import loadbalancer.storage.StoredFileException;
 
 /**
- * What the processes of an upgrade share, and its form in the state file: JSON in a {@link ChecksummedFormat}.
+ * The state that the processes of an upgrade share, stored in the state file as JSON in a {@link ChecksummedFormat}.
  *
- * @param sidecar      name of the sidecar; a file of another sidecar is not read
+ * @param sidecar      name of the sidecar; files of other sidecars are rejected
  * @param outOfService upstreams that operators took out of service
  */
 record HandoverState(String sidecar, OutOfServiceUpstreams.Snapshot outOfService) {
-    /** Largest state file that is read; upstreams of a full endpoint list need less. */
+    /** Largest state file that is read. The upstreams of a full endpoint list need less. */
     static final int MAX_BYTES = 4 * 1024 * 1024;
 
     private static final ChecksummedFormat FORMAT = ChecksummedFormat.plain("bridgecleat-handover", "a handover", 1);
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Reads the state from a file's bytes.
+     * Decodes the content of a state file.
      *
-     * @throws StoredFileException where the file is torn, damaged, of another sidecar or of another version
+     * @throws StoredFileException if the file is torn, damaged, of another sidecar or of another version
      */
     static HandoverState decode(byte[] file, String sidecar) throws StoredFileException {
         byte[] body = FORMAT.decode(file).body();
@@ -42,18 +42,18 @@
             JsonObject json = JsonObject.parse(body);
             String owner = json.string(SIDECAR);
             if (!owner.equals(sidecar)) {
-                throw new StoredFileException("it is of the sidecar '" + owner + "'");
+                throw new StoredFileException("it belongs to the sidecar '" + owner + "'");
             }
             return new HandoverState(
                     sidecar,
                     new OutOfServiceUpstreams.Snapshot(
                             timesById(json.object(OUT_OF_SERVICE)), timesById(json.object(RETURNED))));
         } catch (JsonException exception) {
-            throw new StoredFileException("it makes no sense: " + exception.getMessage());
+            throw new StoredFileException("its content is invalid: " + exception.getMessage());
         }
     }
 
-    /** Unix times in microseconds by the upstream's id. */
+    /** Unix times in microseconds by upstream id. */
     private static Map<String, Long> timesById(JsonObject json) {
         Map<String, Long> times = new LinkedHashMap<>();
         for (String id : json.fieldNames()) {
--- a/src/main/java/loadbalancer/handover/ProcessLock.java
+++ b/src/main/java/loadbalancer/handover/ProcessLock.java
@@ -7,7 +7,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Optional;
 
-/** An exclusive lock on a file, which the operating system releases with its process, however that ends. */
+/** An exclusive lock on a file. The operating system releases it when the process ends, even by a crash. */
 final class ProcessLock implements AutoCloseable {
     private final FileChannel channel;
 
@@ -15,7 +15,7 @@
         this.channel = channel;
     }
 
-    /** Creates the file where there is none and locks it; empty where it is locked already, or can't be. */
+    /** Locks the file and creates it if it is missing. Empty if it is already locked or can't be locked. */
     static Optional<ProcessLock> tryAcquire(Path file) {
         FileChannel channel = null;
         try {
@@ -24,7 +24,7 @@
                 return Optional.of(new ProcessLock(channel));
             }
         } catch (IOException | OverlappingFileLockException exception) {
-            // The same to the caller as a lock that another process holds.
+            // Handled like a lock that another process holds.
         }
         close(channel);
         return Optional.empty();
@@ -41,7 +41,7 @@
             try {
                 channel.close();
             } catch (IOException exception) {
-                // The lock is released all the same.
+                // The lock is released anyway.
             }
         }
     }
--- a/src/main/java/loadbalancer/handover/SlowStartOwnership.java
+++ b/src/main/java/loadbalancer/handover/SlowStartOwnership.java
@@ -5,49 +5,50 @@
 import loadbalancer.balancing.RoutingConstraints;
 
 /**
- * Decides which of the two processes of an upgrade sends to upstreams in slow start, whose budget each would spend as its own. The old
- * process does until SIGTERM; the new one does once the old one has ended, or half the rule's window and
- * {@link #NOTIFICATION_MICROS} after it reported ready. The balancer spends the budget in slots of half a window, so both never send in
- * one slot. Pure: time is a parameter, in microseconds.
+ * Decides which of the two processes of an upgrade may send to upstreams in slow start. Otherwise each process would
+ * use up the limit on requests to these upstreams for itself. The old process sends until SIGTERM. The new one sends
+ * once the old one has ended, or half the limit's window plus {@link #NOTIFICATION_MICROS} after it reported ready. The
+ * balancer applies the limit in slots of half a window, so the processes never send in the same slot. No I/O; time is a
+ * parameter, in microseconds.
  */
 public final class SlowStartOwnership {
-    /** From the new process's report that it is ready until the old one receives SIGTERM. */
+    /** Time from the new process's report that it is ready until the old one receives SIGTERM. */
     static final long NOTIFICATION_MICROS = 100_000;
 
     private final long takeoverDelayMicros;
-    /** Until then the other process sends to upstreams in slow start; 0 where this one does. */
+    /** Time until which the other process sends to upstreams in slow start; 0 if this one does. */
     private long otherOwnsUntilMicros;
 
     /**
-     * Ownership by this process.
+     * Starts with ownership by this process.
      *
-     * @param windowMicros the window over which the rule on upstreams in slow start counts
+     * @param windowMicros the window of the limit on requests to upstreams in slow start
      */
     public SlowStartOwnership(long windowMicros) {
         takeoverDelayMicros = windowMicros / 2 + NOTIFICATION_MICROS;
     }
 
-    /** The other process owns the upstreams in slow start until further notice. */
+    /** Assigns upstreams in slow start to the other process until further notice. */
     public void assignToOtherProcess() {
         otherOwnsUntilMicros = Long.MAX_VALUE;
     }
 
-    /** This process has reported that it is ready. */
+    /** Records that this process has reported that it is ready. */
     public void onReady(long nowMicros) {
         if (otherOwnsUntilMicros == Long.MAX_VALUE) {
             otherOwnsUntilMicros = nowMicros + takeoverDelayMicros;
         }
     }
 
-    /** The other process has ended. */
+    /** Assigns upstreams in slow start to this process, as the other one has ended. */
     public void onOtherProcessEnded() {
         otherOwnsUntilMicros = 0;
     }
 
     /**
-     * Adds this rule to {@code constraints}.
+     * Adds the restriction of slow start to {@code constraints}.
      *
-     * @param slowStartMicros how long an upstream is in slow start after its start
+     * @param slowStartMicros duration of slow start, from the start of an upstream
      */
     public RoutingConstraints restrict(RoutingConstraints constraints, long slowStartMicros) {
         return new RoutingConstraints() {
--- a/src/main/java/loadbalancer/handover/package-info.java
+++ b/src/main/java/loadbalancer/handover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Upgrades: two processes of one sidecar that serve beside each other for some seconds. They find each other by file locks, share a
- * state file, and only one of them sends to upstreams in slow start.
+ * Upgrades, during which two processes of one sidecar serve in parallel for some seconds. They detect each other by
+ * file locks and share a state file. Only one of them sends to upstreams in slow start at a time.
  */
 package loadbalancer.handover;
--- a/src/main/java/loadbalancer/storage/ChecksummedFormat.java
+++ b/src/main/java/loadbalancer/storage/ChecksummedFormat.java
@@ -7,27 +7,27 @@
 import java.util.zip.CRC32C;
 
 /**
- * A file of one ASCII line, which has the format's name and version, an optional sequence number, and length and CRC-32C (RFC 3720) of
- * the body that follows it:
+ * A file format with a header line in ASCII and a body. The header has the name and version of the format, an optional
+ * sequence number, and the length and CRC-32C (RFC 3720) of the body:
  *
  * <pre>bridgecleat-list 1 number=7 length=569 crc32c=a02771be</pre>
  *
- * The checksum covers the body alone.
+ * The checksum covers only the body.
  */
 public final class ChecksummedFormat {
-    /** Longer than any first line of up to 40 characters of name. */
-    private static final int MAX_HEAD_BYTES = 120;
+    /** Limit on the header line, enough for format names of up to 40 characters. */
+    private static final int MAX_HEADER_BYTES = 120;
 
     private final String name;
     private final String content;
     private final int version;
     private final boolean numbered;
-    private final Pattern head;
+    private final Pattern headerPattern;
 
     /**
-     * A file's body, checked against its length and checksum.
+     * The verified contents of a file.
      *
-     * @param sequence 0 where the format has no sequence numbers
+     * @param sequence 0 if the format has no sequence numbers
      */
     public record Contents(long sequence, byte[] body) {}
 
@@ -36,51 +36,51 @@
         this.content = content;
         this.version = version;
         this.numbered = numbered;
-        head = Pattern.compile(Pattern.quote(name) + " (?<version>[0-9]{1,4})"
+        headerPattern = Pattern.compile(Pattern.quote(name) + " (?<version>[0-9]{1,4})"
                 + (numbered ? " number=(?<sequence>[0-9]{1,18})" : "")
                 + " length=(?<length>[0-9]{1,9}) crc32c=(?<checksum>[0-9a-f]{8})");
     }
 
     /**
-     * A format without sequence numbers.
+     * Creates a format without sequence numbers.
      *
      * @param name    the first word of the file
-     * @param content what the file holds, for errors: "a list"
+     * @param content description of the content for error messages, such as "a list"
      */
     public static ChecksummedFormat plain(String name, String content, int version) {
         return new ChecksummedFormat(name, content, version, false);
     }
 
-    /** The same with a sequence number of up to 18 digits, which no checksum covers. */
+    /** Creates a format with a sequence number of up to 18 digits, which the checksum does not cover. */
     public static ChecksummedFormat numbered(String name, String content, int version) {
         return new ChecksummedFormat(name, content, version, true);
     }
 
-    /** The bytes of a file; {@code sequence} is left out where the format has none. */
+    /** Encodes a file; {@code sequence} is ignored if the format has none. */
     public byte[] encode(long sequence, byte[] body) {
         String line = name + " " + version + (numbered ? " number=" + sequence : "") + " length=" + body.length
                 + " crc32c=" + checksum(body) + "\n";
-        byte[] headBytes = line.getBytes(StandardCharsets.US_ASCII);
-        byte[] file = Arrays.copyOf(headBytes, headBytes.length + body.length);
-        System.arraycopy(body, 0, file, headBytes.length, body.length);
+        byte[] headerBytes = line.getBytes(StandardCharsets.US_ASCII);
+        byte[] file = Arrays.copyOf(headerBytes, headerBytes.length + body.length);
+        System.arraycopy(body, 0, file, headerBytes.length, body.length);
         return file;
     }
 
     /**
-     * The contents of a file.
+     * Decodes and verifies a file.
      *
-     * @throws StoredFileException where it is torn, damaged, of another format or of another version
+     * @throws StoredFileException if it is torn, damaged, of another format or of another version
      */
     public Contents decode(byte[] file) throws StoredFileException {
-        int headLength = headLength(file);
-        Matcher matcher = head.matcher(new String(file, 0, headLength, StandardCharsets.US_ASCII));
-        if (!matcher.matches() || headLength == file.length) {
+        int headerLength = headerLength(file);
+        Matcher matcher = headerPattern.matcher(new String(file, 0, headerLength, StandardCharsets.US_ASCII));
+        if (!matcher.matches() || headerLength == file.length) {
             throw new StoredFileException("its first line is not that of " + content);
         }
         if (Integer.parseInt(matcher.group("version")) != version) {
             throw new StoredFileException("its version is " + matcher.group("version") + ", not " + version);
         }
-        byte[] body = Arrays.copyOfRange(file, headLength + 1, file.length);
+        byte[] body = Arrays.copyOfRange(file, headerLength + 1, file.length);
         if (body.length != Integer.parseInt(matcher.group("length"))) {
             throw new StoredFileException("it is cut: " + body.length + " of " + matcher.group("length") + " bytes");
         }
@@ -90,10 +90,10 @@
         return new Contents(numbered ? Long.parseLong(matcher.group("sequence")) : 0, body);
     }
 
-    /** Bytes before the first line break, {@value #MAX_HEAD_BYTES} at most. */
-    private static int headLength(byte[] file) {
+    /** Number of bytes before the first line break, at most {@value #MAX_HEADER_BYTES}. */
+    private static int headerLength(byte[] file) {
         int length = 0;
-        while (length < Math.min(file.length, MAX_HEAD_BYTES) && file[length] != '\n') {
+        while (length < Math.min(file.length, MAX_HEADER_BYTES) && file[length] != '\n') {
             length++;
         }
         return length;
--- a/src/main/java/loadbalancer/storage/StoredFileException.java
+++ b/src/main/java/loadbalancer/storage/StoredFileException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Bytes that are no intact file of the expected format; none of them may be used. The message says what is wrong with "it" or "its". */
+/** Thrown if bytes are no intact file of the expected format, so that none of them may be used. */
 public final class StoredFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** {@code message} follows on the file's name and a colon. */
+    /** {@code message} refers to the file as "it", since callers put the file's name and a colon before it. */
     public StoredFileException(String message) {
         super(message);
     }
--- a/src/main/java/loadbalancer/storage/package-info.java
+++ b/src/main/java/loadbalancer/storage/package-info.java
@@ -1,2 +1,2 @@
-/** The framing of files that outlive a process, by which a reader knows torn, foreign and later files. */
+/** The framing of files that outlive a process, by which readers detect torn files and other formats or versions. */
 package loadbalancer.storage;
--- a/src/test/java/loadbalancer/handover/HandoverFolderTest.java
+++ b/src/test/java/loadbalancer/handover/HandoverFolderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes that share a folder, on the real file system. */
+/** Two processes share a folder on the real file system. */
 @Timeout(30)
 class HandoverFolderTest {
     private static final OutOfServiceUpstreams.Snapshot SNAPSHOT =
@@ -26,7 +26,7 @@
     Path folder;
 
     @Test
-    void readsWhatAnEarlierProcessOfTheSidecarWrote() throws Exception {
+    void readsTheStateThatAnEarlierProcessOfTheSidecarWrote() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         try (HandoverFolder older = new HandoverFolder(folder, "n 0/x")) {
             assertEquals(OutOfServiceUpstreams.Snapshot.EMPTY, older.read());
@@ -36,13 +36,14 @@
         try (HandoverFolder newer = new HandoverFolder(folder, "n 0/x");
                 HandoverFolder other = new HandoverFolder(folder, "n 0?x")) {
             assertEquals(SNAPSHOT, newer.read());
-            assertEquals(OutOfServiceUpstreams.Snapshot.EMPTY, other.read(), "the state of another sidecar");
+            assertEquals(
+                    OutOfServiceUpstreams.Snapshot.EMPTY, other.read(), "state of another sidecar must be ignored");
         }
     }
 
-    /** A process that starts goes on without it. */
+    /** A process that starts ignores such a file. */
     @Test
-    void readsNoneFromAFileOfALaterVersion() throws Exception {
+    void stateFileOfALaterVersionIsIgnored() throws Exception {
         byte[] later = new String(new HandoverState("n0", SNAPSHOT).encode(), StandardCharsets.UTF_8)
                 .replace("handover 1 ", "handover 2 ")
                 .getBytes(StandardCharsets.UTF_8);
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void notifiesEachProcessOfTheOther() throws Exception {
+    void processesDetectEachOtherAndShareState() throws Exception {
         HandoverFolder older = new HandoverFolder(folder, "n0");
         assertTrue(older.open());
         assertFalse(older.hasSuccessor());
@@ -62,19 +63,19 @@
             assertTrue(older.hasSuccessor());
             assertFalse(newer.hasSuccessor());
             LinkedBlockingQueue<OutOfServiceUpstreams.Snapshot> received = new LinkedBlockingQueue<>();
-            CountDownLatch alone = new CountDownLatch(1);
-            newer.watch(received::add, alone::countDown);
+            CountDownLatch otherEnded = new CountDownLatch(1);
+            newer.watch(received::add, otherEnded::countDown);
             older.write(snapshot -> SNAPSHOT, snapshot -> {});
             assertEquals(SNAPSHOT, received.poll(10, TimeUnit.SECONDS));
-            assertEquals(1, alone.getCount());
+            assertEquals(1, otherEnded.getCount());
             older.close();
-            assertTrue(alone.await(10, TimeUnit.SECONDS));
+            assertTrue(otherEnded.await(10, TimeUnit.SECONDS));
         }
     }
 
-    /** A newer process that dies before it is ready leaves the older one as it was. */
+    /** A newer process that ends before it is ready does not affect the older one. */
     @Test
-    void forgetsASuccessorThatDied() {
+    void successorThatEndedIsNoLongerDetected() {
         try (HandoverFolder older = new HandoverFolder(folder, "n0")) {
             older.open();
             HandoverFolder newer = new HandoverFolder(folder, "n0");
@@ -86,7 +87,7 @@
     }
 
     @Test
-    void losesNoneOfTheConcurrentWritesOfTwoProcesses() throws Exception {
+    void concurrentWritesOfTwoProcessesAreAllKept() throws Exception {
         try (HandoverFolder first = new HandoverFolder(folder, "n0");
                 HandoverFolder second = new HandoverFolder(folder, "n0")) {
             CountDownLatch done = new CountDownLatch(40);
@@ -103,7 +104,7 @@
     }
 
     @Test
-    void keepsUpstreamsOutOfServiceWhereTheStateFileIsTorn() throws Exception {
+    void upstreamsStayOutOfServiceIfTheStateFileIsTorn() throws Exception {
         try (HandoverFolder handover = new HandoverFolder(folder, "n0")) {
             CountDownLatch written = new CountDownLatch(1);
             handover.write(snapshot -> SNAPSHOT, snapshot -> written.countDown());
--- a/src/test/java/loadbalancer/handover/HandoverStateTest.java
+++ b/src/test/java/loadbalancer/handover/HandoverStateTest.java
@@ -15,9 +15,9 @@
     private static final OutOfServiceUpstreams.Snapshot SNAPSHOT =
             new OutOfServiceUpstreams.Snapshot(Map.of("a", 5L, "\u00fc \"b\"", 6L), Map.of("c", 7L));
 
-    /** Torn, damaged, of another sidecar or of another version. */
+    /** The bytes are torn, damaged, of another sidecar or of another version. */
     @Test
-    void rejectsBytesThatAreNotIntact() throws Exception {
+    void unusableBytesAreRejected() throws Exception {
         byte[] intact = new HandoverState("n0", SNAPSHOT).encode();
         assertEquals(SNAPSHOT, HandoverState.decode(intact, "n0").outOfService());
         assertThrows(IOException.class, () -> HandoverState.decode(intact, "n1"));
@@ -27,9 +27,9 @@
         }
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 2_000; i++) {
-            byte[] wrong = intact.clone();
-            wrong[random.nextInt(wrong.length)] ^= (byte) (1 << random.nextInt(8));
-            assertThrows(IOException.class, () -> HandoverState.decode(wrong, "n0"));
+            byte[] damaged = intact.clone();
+            damaged[random.nextInt(damaged.length)] ^= (byte) (1 << random.nextInt(8));
+            assertThrows(IOException.class, () -> HandoverState.decode(damaged, "n0"));
         }
         byte[] newer = new String(intact, StandardCharsets.UTF_8)
                 .replace("handover 1 ", "handover 2 ")
--- a/src/test/java/loadbalancer/handover/SlowStartOwnershipTest.java
+++ b/src/test/java/loadbalancer/handover/SlowStartOwnershipTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 class SlowStartOwnershipTest {
-    /** Others are open to both. */
+    /** Upstreams that are not in slow start are allowed to both processes. */
     @Test
-    void allowsUpstreamsInSlowStartToOneProcessAtATime() {
+    void upstreamsInSlowStartAreAllowedToOneProcessAtATime() {
         long nowMicros = 1_000_000_000_000L;
         SlowStartOwnership ownership = new SlowStartOwnership(1_000_000);
         RoutingConstraints constraints = ownership.restrict(RoutingConstraints.NONE, 24_000_000);
--- a/src/test/java/loadbalancer/storage/ChecksummedFormatTest.java
+++ b/src/test/java/loadbalancer/storage/ChecksummedFormatTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What the files of each format say of wrong bytes; the samples of stored files hold the bytes themselves. */
+/** Encoding and error messages; the tests of stored samples check the exact bytes of each format. */
 class ChecksummedFormatTest {
     private static final ChecksummedFormat NUMBERED = ChecksummedFormat.numbered("things", "a thing", 3);
     private static final ChecksummedFormat PLAIN = ChecksummedFormat.plain("things", "a thing", 3);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void decodesWhatItEncodes() throws Exception {
+    void encodedFileIsDecoded() throws Exception {
         byte[] file = NUMBERED.encode(12, bytes("body\n"));
 
         ChecksummedFormat.Contents contents = NUMBERED.decode(file);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void leavesTheSequenceOutOfAPlainFormat() throws Exception {
+    void plainFormatHasNoSequenceNumber() throws Exception {
         byte[] file = PLAIN.encode(12, bytes("body"));
 
         assertEquals(0, PLAIN.decode(file).sequence());
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void saysWhatIsWrong() {
+    void errorMessageNamesTheDefect() {
         String file = new String(NUMBERED.encode(1, bytes("body")), StandardCharsets.US_ASCII);
 
         assertRejected("its first line is not that of a thing", "");
