--- a/src/main/java/loadbalancer/admin/AdminRequest.java
+++ b/src/main/java/loadbalancer/admin/AdminRequest.java
@@ -1,35 +1,35 @@
 package loadbalancer.admin;
 
-/** What operators may ask of a process. */
+/** A request of an operator to a process. */
 public sealed interface AdminRequest {
     /**
-     * Reads a request from the method and target of an HTTP request. A query is ignored.
+     * Parses a request from the method and target of an HTTP request. A query is ignored.
      *
-     * @return {@link Unrecognized} if it is no request that the address knows
+     * @return {@link Unrecognized} if there is no such request
      */
     static AdminRequest parse(String method, String target) {
         return AdminRequestParser.parse(method, target);
     }
 
-    /** Whether the process is ready. */
+    /** Asks whether the process is ready. */
     record Ready() implements AdminRequest {}
 
-    /** What the sidecar has done since its start. */
+    /** Asks for the counters of the sidecar since its start. */
     record Counters() implements AdminRequest {}
 
-    /** Takes an upstream out of use until {@link Online}. */
+    /** Takes an upstream out of service until {@link Online}. */
     record Offline(String upstreamId) implements AdminRequest {}
 
-    /** Puts an upstream back into use. */
+    /** Puts an upstream back into service. */
     record Online(String upstreamId) implements AdminRequest {}
 
-    /** Drains the sidecar's clients until {@link InService}. */
+    /** Takes the sidecar out of service, which drains its clients, until {@link InService}. */
     record OutOfService() implements AdminRequest {}
 
-    /** Lets clients connect again. */
+    /** Puts the sidecar back into service. */
     record InService() implements AdminRequest {}
 
-    /** The policy that the sidecar decides by. */
+    /** Asks for the active policy of the sidecar and its unfinished change. */
     record Policy() implements AdminRequest {}
 
     /** Proposes the content of the sidecar's policy file for the whole fleet. */
@@ -38,10 +38,10 @@
     /** Rolls back an unfinished change of policy. */
     record Abort() implements AdminRequest {}
 
-    /** The active version of each scope of a control replica. */
+    /** Asks for the active version of each scope of a control replica. */
     record Scopes() implements AdminRequest {}
 
-    /** The active version of one scope, and its unfinished change. */
+    /** Asks for the active version of one scope and its unfinished change. */
     record Scope(String name) implements AdminRequest {}
 
     /** Proposes the content of the scope's file for all its subscribers. */
@@ -51,10 +51,10 @@
     record AbortScope(String name) implements AdminRequest {}
 
     /**
-     * No request that the address knows.
+     * A malformed or unknown request.
      *
      * @param status HTTP status of the response
-     * @param reason its text
+     * @param reason error text of the response
      */
     record Unrecognized(int status, String reason) implements AdminRequest {}
 }
--- a/src/main/java/loadbalancer/admin/AdminRequestParser.java
+++ b/src/main/java/loadbalancer/admin/AdminRequestParser.java
@@ -9,9 +9,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** Reads an {@link AdminRequest} from the method and target of an HTTP request. A query is ignored. */
+/** Parses an {@link AdminRequest} from the method and target of an HTTP request. A query is ignored. */
 final class AdminRequestParser {
-    /** Of an upstream's id or a scope's name, in bytes of UTF-8. */
+    /** Longest upstream id or scope name, in bytes of UTF-8. */
     private static final int MAX_NAME_BYTES = 256;
 
     private static final String GET = "GET";
@@ -84,7 +84,7 @@
                 : new AdminRequest.Unrecognized(HTTP_BAD_METHOD, "this call takes " + expectedMethod);
     }
 
-    /** RFC 3986, 2.1, where a plus is itself; empty if the text is empty, too long, badly escaped or not UTF-8. */
+    /** Decodes percent-encoding (RFC 3986, 2.1); empty if the result is empty, too long or not valid UTF-8. */
     private static Optional<String> percentDecode(String text) {
         ByteBuffer decoded = ByteBuffer.allocate(text.length());
         for (int index = 0; index < text.length(); index++) {
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -28,11 +28,11 @@
 import loadbalancer.json.JsonObject;
 
 /**
- * The operators' HTTP address. A connection carries one request, which is answered as soon as its head is read, since no request has a body
- * with a meaning. The oldest connection is closed for a new one when there are too many, so slow callers keep nobody out.
+ * The HTTP server for operators. A connection carries one request, which is answered as soon as its head is read, since
+ * bodies are ignored. If there are too many connections the oldest is closed, so that slow clients can't block others.
  */
 public final class AdminServer {
-    /** Connections held at once; as many descriptors are reserved. */
+    /** Limit on open connections. The same number of file descriptors is reserved for them. */
     public static final int MAX_CONNECTIONS = 16;
 
     private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
@@ -43,7 +43,7 @@
 
     private final EventLoop loop;
     private final AdminRequestHandler handler;
-    /** Oldest first. */
+    /** Open connections, oldest first. */
     private final ArrayDeque<Channel> connections = new ArrayDeque<>();
 
     /** @param handler called on the event loop */
@@ -52,7 +52,7 @@
         this.handler = handler;
     }
 
-    /** Binds the address and returns it with its port. */
+    /** Binds the address and returns the bound address with its port. */
     public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
         Channel listener =
                 ListenSocket.bindTcp(loop, NioServerSocketChannel::new, ACCEPT_BACKLOG, false, address, this::onAccept);
@@ -92,7 +92,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Object message) {
-            // What follows the first request is its body or a second request, which are both ignored.
+            // The body of the request and further requests are ignored.
             if (requestSeen || !(message instanceof HttpRequest request)) {
                 return;
             }
@@ -102,7 +102,7 @@
                 boolean tooLarge = request.decoderResult().cause() instanceof TooLongFrameException;
                 HttpResponseStatus status =
                         tooLarge ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST;
-                responder.respond(status.code(), "no call that can be read");
+                responder.respond(status.code(), "malformed HTTP request");
             } else {
                 handler.handle(AdminRequestParser.parse(request.method().name(), request.uri()), responder);
             }
@@ -111,7 +111,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                Log.fault("an operator's call failed", cause);
+                Log.fault("handling an admin request failed", cause);
             }
             context.close();
         }
--- a/src/main/java/loadbalancer/admin/SidecarControl.java
+++ b/src/main/java/loadbalancer/admin/SidecarControl.java
@@ -4,38 +4,38 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The operations of a sidecar that operators may call. All are called on the event loop and must not block it. */
+/** The operations of a sidecar for operators. All are called on the event loop and must not block it. */
 public interface SidecarControl {
-    /** Whether the process would serve a client that connects now. */
+    /** Whether the process is ready for requests. */
     boolean isReady();
 
-    /** Its counters as a JSON object. */
+    /** The counters as a JSON object. */
     Map<String, Object> counters();
 
     /**
-     * Takes an upstream out of use or puts it back.
+     * Takes an upstream out of service or puts it back.
      *
-     * @param known called once with whether the endpoint list has the upstream
+     * @param onResult called once with whether the endpoint list has the upstream
      */
-    void setOffline(String upstreamId, boolean offline, Consumer<Boolean> known);
+    void setOffline(String upstreamId, boolean offline, Consumer<Boolean> onResult);
 
-    /** The active policy and its unfinished change as a JSON object; empty if the fleet does not decide on policies together. */
+    /** The active policy and its unfinished change as a JSON object; empty if the fleet does not use consensus. */
     Optional<Map<String, Object>> policy();
 
     /**
-     * Proposes the content of the policy file. Only valid with a {@link #policy}.
+     * Proposes the content of the policy file. Only valid if there is a {@link #policy}.
      *
-     * @param rejection called once with why it was rejected; null if it was proposed
+     * @param onResult called once with the reason of a rejection; with null if the change was proposed
      */
-    void propose(Consumer<String> rejection);
+    void propose(Consumer<String> onResult);
 
     /**
-     * Rolls back an unfinished change of policy. Only valid with a {@link #policy}.
+     * Rolls back an unfinished change of policy. Only valid if there is a {@link #policy}.
      *
-     * @param rejection called once with why it was rejected; null if it was accepted
+     * @param onResult called once with the reason of a rejection; with null if the request was accepted
      */
-    void abort(Consumer<String> rejection);
+    void abort(Consumer<String> onResult);
 
-    /** Drains the sidecar's clients, or lets them connect again. */
+    /** Takes the sidecar out of service, which drains its clients, or puts it back. */
     void setOutOfService(boolean outOfService);
 }
--- a/src/main/java/loadbalancer/admin/SidecarRequestHandler.java
+++ b/src/main/java/loadbalancer/admin/SidecarRequestHandler.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Carries out operators' requests to a sidecar. */
+/** Handles operators' requests to a sidecar. */
 public final class SidecarRequestHandler implements AdminRequestHandler {
     private final SidecarControl control;
 
-    /** @param control what the requests act on */
+    /** @param control the operations that the requests call */
     public SidecarRequestHandler(SidecarControl control) {
         this.control = control;
     }
--- a/src/main/java/loadbalancer/admin/package-info.java
+++ b/src/main/java/loadbalancer/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' address: reads their HTTP calls and hands them to the kind of process that serves it, a sidecar or a control replica. */
+/** The HTTP interface for operators: parses requests and passes them to a sidecar or a control replica. */
 package loadbalancer.admin;
--- a/src/main/java/loadbalancer/metrics/Metrics.java
+++ b/src/main/java/loadbalancer/metrics/Metrics.java
@@ -5,16 +5,17 @@
 import loadbalancer.metrics.MetricsSnapshot.ClassCounts;
 
 /**
- * What this process has done since its start. Each admitted request is counted once when it is admitted and once when it completes. No other
- * code counts requests, so the counters are consistent with each other. A class that a reload removes keeps its counters. Pure; not thread-safe.
+ * Counters of this process since its start. Each admitted request is counted once at its admission and once at its
+ * completion. No other code counts requests, so the counters are consistent with each other. A request class that a
+ * reload removes keeps its counters. No I/O; not thread-safe.
  */
 public final class Metrics {
-    /** More than any configuration has, so that repeated reloads can't exhaust memory. */
+    /** Limit on classes, more than any configuration has, so that repeated reloads can't exhaust the memory. */
     static final int MAX_CLASSES = 1_000;
 
     private static final int OUTCOMES = RequestOutcome.values().length;
 
-    /** By class, then by ordinal of the outcome. */
+    /** Completed requests by class, then by ordinal of the outcome. */
     private final Map<String, long[]> completions = new LinkedHashMap<>();
 
     private long sentAttempts;
@@ -30,18 +31,18 @@
         }
     }
 
-    /** Counts a request when it is admitted. */
+    /** Counts a request at its admission. */
     public void requestAdmitted() {
         inFlight++;
     }
 
-    /** Counts an admitted request when it completes. */
+    /** Counts an admitted request at its completion. */
     public void requestCompleted(String requestClass, RequestOutcome outcome) {
         inFlight--;
         requestAnsweredWithoutAdmission(requestClass, outcome);
     }
 
-    /** Counts a request that was answered but never admitted. Requests of unknown classes are not counted by class. */
+    /** Counts a request that was answered without admission. Requests of unknown classes are not counted by class. */
     public void requestAnsweredWithoutAdmission(String requestClass, RequestOutcome outcome) {
         if (outcome == RequestOutcome.CANCELLED) {
             cancelledByClient++;
@@ -52,12 +53,12 @@
         }
     }
 
-    /** Counts an attempt when its last byte was written to an upstream. */
+    /** Counts an attempt whose last byte was written to an upstream. */
     public void attemptSent() {
         sentAttempts++;
     }
 
-    /** Counts a reload at SIGHUP, which was applied or rejected. */
+    /** Counts a reload at SIGHUP, by whether it was applied or rejected. */
     public void configurationReloaded(boolean applied) {
         if (applied) {
             reloadsApplied++;
@@ -66,32 +67,32 @@
         }
     }
 
-    /** Requests admitted and not completed. */
+    /** Number of requests that are admitted and not completed. */
     public long inFlight() {
         return inFlight;
     }
 
-    /** Attempts whose last byte was written to an upstream. */
+    /** Number of attempts whose last byte was written to an upstream. */
     public long sentAttempts() {
         return sentAttempts;
     }
 
-    /** Requests that their clients cancelled. */
+    /** Number of requests that clients cancelled. */
     public long cancelledByClient() {
         return cancelledByClient;
     }
 
-    /** Requests of a class that ended with an outcome; 0 for an unknown class. */
+    /** Number of requests of a class that ended with an outcome; 0 for an unknown class. */
     public long count(String requestClass, RequestOutcome outcome) {
         long[] counts = completions.get(requestClass);
         return counts == null ? 0 : counts[outcome.ordinal()];
     }
 
     /**
-     * All counters now.
+     * The current values of all counters.
      *
-     * @param upstreams endpoints in the list
-     * @param unhealthyUpstreams those of them that receive no requests
+     * @param upstreams number of endpoints in the list
+     * @param unhealthyUpstreams number of those that receive no requests
      */
     public MetricsSnapshot snapshot(int upstreams, int unhealthyUpstreams) {
         Map<String, ClassCounts> classes = new LinkedHashMap<>();
@@ -107,12 +108,12 @@
                 counts[RequestOutcome.FAILED.ordinal()]);
     }
 
-    /** How a request ends. */
+    /** Outcome of a request. */
     public enum RequestOutcome {
         SERVED,
         REJECTED,
         FAILED,
-        /** By its client; not reported by class. */
+        /** Cancelled by the client. Not reported by class. */
         CANCELLED
     }
 }
--- a/src/main/java/loadbalancer/metrics/MetricsSnapshot.java
+++ b/src/main/java/loadbalancer/metrics/MetricsSnapshot.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * The counters at one moment.
+ * The values of all counters at one time.
  *
- * @param classes by name of the request class, in the order in which they were added
- * @param inFlight requests admitted and not completed
- * @param sentAttempts attempts whose last byte was written to an upstream
- * @param upstreams endpoints in the list
- * @param unhealthyUpstreams those of them that receive no requests
- * @param reloadsApplied configurations applied at SIGHUP
- * @param reloadsRejected configurations rejected at SIGHUP
+ * @param classes counters by name of the request class, in the order in which the classes were added
+ * @param inFlight number of requests that are admitted and not completed
+ * @param sentAttempts number of attempts whose last byte was written to an upstream
+ * @param upstreams number of endpoints in the list
+ * @param unhealthyUpstreams number of those that receive no requests
+ * @param reloadsApplied number of configurations applied at SIGHUP
+ * @param reloadsRejected number of configurations rejected at SIGHUP
  */
 public record MetricsSnapshot(
         Map<String, ClassCounts> classes,
@@ -22,7 +22,7 @@
         int unhealthyUpstreams,
         long reloadsApplied,
         long reloadsRejected) {
-    /** Completed requests of one class, by outcome. */
+    /** Numbers of completed requests of one class, by outcome. */
     public record ClassCounts(long served, long rejected, long failed) {
         private Map<String, Object> toJson() {
             Map<String, Object> json = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The JSON body of the operators' call, by the names and in the order that they are documented with. */
+    /** The counters as a JSON object, with the documented names and in the documented order. */
     public Map<String, Object> toJson() {
         Map<String, Object> transactions = new LinkedHashMap<>();
         classes.forEach((name, counts) -> transactions.put(name, counts.toJson()));
--- a/src/main/java/loadbalancer/metrics/package-info.java
+++ b/src/main/java/loadbalancer/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters of what a sidecar has done since its start, as the operators' address reports them. Pure: no I/O, no threads. */
+/** Counters of a sidecar since its start, which the HTTP interface for operators reports. No I/O, no threads. */
 package loadbalancer.metrics;
--- a/src/test/java/loadbalancer/admin/AdminRequestTest.java
+++ b/src/test/java/loadbalancer/admin/AdminRequestTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void requestsToASidecarAreReadByMethodAndPath() {
+    void requestsToASidecarAreParsedByMethodAndPath() {
         assertEquals(new AdminRequest.Ready(), AdminRequest.parse("GET", "/control/ready"));
         assertEquals(new AdminRequest.Counters(), AdminRequest.parse("GET", "/control/counters?pretty"));
         assertEquals(
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void requestsToAReplicaAreReadByMethodAndPath() {
+    void requestsToAReplicaAreParsedByMethodAndPath() {
         assertEquals(new AdminRequest.Scopes(), AdminRequest.parse("GET", "/control/scopes"));
         assertEquals(new AdminRequest.Scope("booking"), AdminRequest.parse("GET", "/control/scopes/booking"));
         assertEquals(new AdminRequest.ProposeScope("a b"), AdminRequest.parse("POST", "/control/scopes/a%20b/propose"));
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @CsvSource({"a%2Fb, a/b", "a%252Fb, a%2Fb", "a+%C3%BC, a+ü", "offline, offline"})
-    void upstreamIdIsPercentDecodedOnceAndAPlusIsItself(String encoded, String upstreamId) {
+    void upstreamIdIsPercentDecodedOnceAndPlusIsKept(String encoded, String upstreamId) {
         assertEquals(
                 new AdminRequest.Offline(upstreamId),
                 AdminRequest.parse("POST", "/control/upstreams/" + encoded + "/offline"));
@@ -62,13 +62,13 @@
         "405, GET, /control/scopes/booking/propose",
         "400, GET, /control/scopes/%zz"
     })
-    void unrecognizedRequestHasAStatus(int status, String method, String target) {
+    void unrecognizedRequestHasAnErrorStatus(int status, String method, String target) {
         assertEquals(status, status(method, target));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "%", "%4", "%zz", "a%", "a%2", "%ff", "a b"})
-    void unreadableUpstreamIdIsABadRequest(String upstreamId) {
+    void malformedUpstreamIdIsABadRequest(String upstreamId) {
         assertEquals(400, status("POST", "/control/upstreams/" + upstreamId + "/offline"));
     }
 
--- a/src/test/java/loadbalancer/metrics/MetricsTest.java
+++ b/src/test/java/loadbalancer/metrics/MetricsTest.java
@@ -11,7 +11,7 @@
     private final Metrics metrics = new Metrics();
 
     @Test
-    void zerosAreReportedFromTheStartByTheDocumentedNames() {
+    void zerosAreReportedFromTheStartWithTheDocumentedNames() {
         // given
         metrics.addClass("a");
         // then
@@ -22,30 +22,31 @@
     }
 
     @Test
-    void admittedRequestsAreCompletedOrInFlightAfterAnyMix() {
+    void admittedRequestsAreCompletedOrInFlightAfterRandomEvents() {
         for (long seed = 0; seed < 200; seed++) {
             // given
             SplittableRandom random = new SplittableRandom(seed);
-            Metrics mixed = new Metrics();
-            mixed.addClass("a");
-            mixed.addClass("b");
+            Metrics randomMetrics = new Metrics();
+            randomMetrics.addClass("a");
+            randomMetrics.addClass("b");
             long admitted = 0;
             long inFlight = 0;
             // when
             for (int event = 0; event < 300; event++) {
                 if (inFlight == 0 || random.nextBoolean()) {
-                    mixed.requestAdmitted();
+                    randomMetrics.requestAdmitted();
                     admitted++;
                     inFlight++;
                 } else {
                     String requestClass = random.nextBoolean() ? "a" : "b";
-                    mixed.requestCompleted(requestClass, RequestOutcome.values()[random.nextInt(4)]);
+                    randomMetrics.requestCompleted(requestClass, RequestOutcome.values()[random.nextInt(4)]);
                     inFlight--;
                 }
             }
             // then
-            assertEquals(inFlight, mixed.inFlight(), "seed " + seed);
-            assertEquals(admitted, completed(mixed, "a") + completed(mixed, "b") + inFlight, "seed " + seed);
+            assertEquals(inFlight, randomMetrics.inFlight(), "seed " + seed);
+            assertEquals(
+                    admitted, completed(randomMetrics, "a") + completed(randomMetrics, "b") + inFlight, "seed " + seed);
         }
     }
 
@@ -58,14 +59,14 @@
     }
 
     @Test
-    void removedClassKeepsItsCountersAndAnUnknownOneIsNotCounted() {
+    void removedClassKeepsItsCountersAndUnknownClassIsNotCounted() {
         // given
         metrics.addClass("old");
         // when
         metrics.requestAdmitted();
         metrics.requestCompleted("old", RequestOutcome.SERVED);
         metrics.addClass("new");
-        metrics.requestAnsweredWithoutAdmission("never heard of", RequestOutcome.FAILED);
+        metrics.requestAnsweredWithoutAdmission("unknown", RequestOutcome.FAILED);
         metrics.requestAnsweredWithoutAdmission("old", RequestOutcome.FAILED);
         // then
         MetricsSnapshot snapshot = metrics.snapshot(0, 0);
