--- a/src/test/java/loadbalancer/stored/AdminCallsTest.java
+++ b/src/test/java/loadbalancer/stored/AdminCallsTest.java
@@ -24,139 +24,143 @@
 import loadbalancer.metrics.Metrics.RequestOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Operators' calls to the admin address and their answers. */
+/** Compatibility of operators' requests to the admin server and of its responses. */
 class AdminCallsTest {
     private static final String SIDECAR = "admin-calls-sidecar.txt", NO_CONSENSUS = "admin-calls-no-consensus.txt";
 
-    /** Each call that is known, and what an operator may get wrong. */
-    private static Map<String, AdminRequest> calls() {
-        Map<String, AdminRequest> calls = new LinkedHashMap<>();
-        calls.put("GET /control/ready", new AdminRequest.Ready());
-        calls.put("GET /control/counters?pretty", new AdminRequest.Counters());
-        calls.put("POST /control/upstreams/orders-1/offline", new AdminRequest.Offline("orders-1"));
-        calls.put("POST /control/upstreams/orders%2F1/online", new AdminRequest.Online("orders/1"));
-        calls.put("POST /control/upstreams/unknown/offline", new AdminRequest.Offline("unknown"));
-        calls.put("POST /control/out-of-service", new AdminRequest.OutOfService());
-        calls.put("POST /control/in-service", new AdminRequest.InService());
-        calls.put("GET /control/policy", new AdminRequest.Policy());
-        calls.put("POST /control/policy/propose", new AdminRequest.Propose());
-        calls.put("POST /control/policy/abort", new AdminRequest.Abort());
-        calls.put("GET /control/scopes", new AdminRequest.Scopes());
-        calls.put("GET /control/scopes/orders", new AdminRequest.Scope("orders"));
-        calls.put("POST /control/scopes/orders/propose", new AdminRequest.ProposeScope("orders"));
-        calls.put("POST /control/scopes/orders/abort", new AdminRequest.AbortScope("orders"));
-        calls.put("POST /control/ready", new AdminRequest.Unrecognized(405, "this call takes GET"));
-        calls.put("GET /control/policy/abort", new AdminRequest.Unrecognized(405, "this call takes POST"));
-        calls.put("GET /control/unknown", new AdminRequest.Unrecognized(404, "no such call"));
-        calls.put(
+    /** All valid requests and typical invalid ones, by the start of their request line. */
+    private static Map<String, AdminRequest> requests() {
+        Map<String, AdminRequest> requests = new LinkedHashMap<>();
+        requests.put("GET /control/ready", new AdminRequest.Ready());
+        requests.put("GET /control/counters?pretty", new AdminRequest.Counters());
+        requests.put("POST /control/upstreams/orders-1/offline", new AdminRequest.Offline("orders-1"));
+        requests.put("POST /control/upstreams/orders%2F1/online", new AdminRequest.Online("orders/1"));
+        requests.put("POST /control/upstreams/unknown/offline", new AdminRequest.Offline("unknown"));
+        requests.put("POST /control/out-of-service", new AdminRequest.OutOfService());
+        requests.put("POST /control/in-service", new AdminRequest.InService());
+        requests.put("GET /control/policy", new AdminRequest.Policy());
+        requests.put("POST /control/policy/propose", new AdminRequest.Propose());
+        requests.put("POST /control/policy/abort", new AdminRequest.Abort());
+        requests.put("GET /control/scopes", new AdminRequest.Scopes());
+        requests.put("GET /control/scopes/orders", new AdminRequest.Scope("orders"));
+        requests.put("POST /control/scopes/orders/propose", new AdminRequest.ProposeScope("orders"));
+        requests.put("POST /control/scopes/orders/abort", new AdminRequest.AbortScope("orders"));
+        requests.put("POST /control/ready", new AdminRequest.Unrecognized(405, "this call takes GET"));
+        requests.put("GET /control/policy/abort", new AdminRequest.Unrecognized(405, "this call takes POST"));
+        requests.put("GET /control/unknown", new AdminRequest.Unrecognized(404, "no such call"));
+        requests.put(
                 "POST /control/upstreams/%zz/offline",
                 new AdminRequest.Unrecognized(400, "the upstream's id can't be read"));
-        calls.put("GET /control/scopes/%zz", new AdminRequest.Unrecognized(400, "the scope's name can't be read"));
-        return calls;
+        requests.put("GET /control/scopes/%zz", new AdminRequest.Unrecognized(400, "the scope's name can't be read"));
+        return requests;
     }
 
-    private static Metrics figures() {
-        Metrics figures = new Metrics();
-        figures.addClass("search");
-        figures.addClass("checkout");
+    private static Metrics sampleMetrics() {
+        Metrics metrics = new Metrics();
+        metrics.addClass("search");
+        metrics.addClass("checkout");
         for (int i = 0; i < 7; i++) {
-            figures.requestAdmitted();
-            figures.attemptSent();
+            metrics.requestAdmitted();
+            metrics.attemptSent();
         }
-        figures.requestCompleted("search", RequestOutcome.SERVED);
-        figures.requestCompleted("search", RequestOutcome.SERVED);
-        figures.requestCompleted("search", RequestOutcome.REJECTED);
-        figures.requestCompleted("checkout", RequestOutcome.FAILED);
-        figures.requestCompleted("checkout", RequestOutcome.CANCELLED);
-        figures.configurationReloaded(true);
-        figures.configurationReloaded(true);
-        figures.configurationReloaded(false);
-        return figures;
+        metrics.requestCompleted("search", RequestOutcome.SERVED);
+        metrics.requestCompleted("search", RequestOutcome.SERVED);
+        metrics.requestCompleted("search", RequestOutcome.REJECTED);
+        metrics.requestCompleted("checkout", RequestOutcome.FAILED);
+        metrics.requestCompleted("checkout", RequestOutcome.CANCELLED);
+        metrics.configurationReloaded(true);
+        metrics.configurationReloaded(true);
+        metrics.configurationReloaded(false);
+        return metrics;
     }
 
-    /** A sidecar that knows {@code orders-1} and {@code orders/1}. */
-    private record FixedSidecar(boolean isReady, Optional<Map<String, Object>> policy, String refusal)
+    /** A sidecar with fixed responses, which has all upstreams except {@code unknown}. */
+    private record FixedSidecar(boolean isReady, Optional<Map<String, Object>> policy, String rejection)
             implements SidecarControl {
         @Override
         public Map<String, Object> counters() {
-            return figures().snapshot(12, 1).toJson();
+            return sampleMetrics().snapshot(12, 1).toJson();
         }
 
         @Override
-        public void setOffline(String id, boolean out, Consumer<Boolean> known) {
-            known.accept(!id.equals("unknown"));
+        public void setOffline(String upstreamId, boolean offline, Consumer<Boolean> onResult) {
+            onResult.accept(!upstreamId.equals("unknown"));
         }
 
         @Override
-        public void propose(Consumer<String> why) {
-            why.accept(refusal);
+        public void propose(Consumer<String> onResult) {
+            onResult.accept(rejection);
         }
 
         @Override
-        public void abort(Consumer<String> why) {
-            why.accept(refusal);
+        public void abort(Consumer<String> onResult) {
+            onResult.accept(rejection);
         }
 
         @Override
-        public void setOutOfService(boolean out) {
-            // Clients are of no interest here.
+        public void setOutOfService(boolean outOfService) {
+            // There are no clients in this test.
         }
     }
 
-    private static byte[] answered(SidecarControl control) {
+    private static byte[] responsesOf(SidecarControl control) {
         AdminRequestHandler handler = new SidecarRequestHandler(control);
         StringBuilder lines = new StringBuilder();
-        calls().forEach((line, call) -> handler.handle(call, (status, body) -> lines.append(line)
-                .append(" -> ")
-                .append(status)
-                .append(' ')
-                .append(new String(JsonObject.write(body), StandardCharsets.UTF_8))
-                .append('\n')));
+        requests()
+                .forEach((line, request) -> handler.handle(request, (status, body) -> lines.append(line)
+                        .append(" -> ")
+                        .append(status)
+                        .append(' ')
+                        .append(new String(JsonObject.write(body), StandardCharsets.UTF_8))
+                        .append('\n')));
         return lines.toString().getBytes(StandardCharsets.UTF_8);
     }
 
     @Test
-    void storedCallsAreRead() {
-        List<String> read = new ArrayList<>();
+    void storedRequestsAreParsed() {
+        List<String> storedRequests = new ArrayList<>();
         for (String line : StoredSamples.lines(SIDECAR)) {
-            String call = line.substring(0, line.indexOf(" -> "));
-            read.add(call);
-            int space = call.indexOf(' ');
+            String request = line.substring(0, line.indexOf(" -> "));
+            storedRequests.add(request);
+            int space = request.indexOf(' ');
             assertEquals(
-                    calls().get(call), AdminRequest.parse(call.substring(0, space), call.substring(space + 1)), call);
+                    requests().get(request),
+                    AdminRequest.parse(request.substring(0, space), request.substring(space + 1)),
+                    request);
         }
-        assertEquals(List.copyOf(calls().keySet()), read);
+        assertEquals(List.copyOf(requests().keySet()), storedRequests);
     }
 
     @Test
-    void aSidecarAnswersAgainByteForByte() {
+    void sidecarResponsesEqualTheStoredOnesByteForByte() {
         Map<String, Object> policy = Map.of("version", "a11ce0002");
-        StoredSamples.assertWritten(SIDECAR, answered(new FixedSidecar(true, Optional.of(policy), null)));
+        StoredSamples.assertWritten(SIDECAR, responsesOf(new FixedSidecar(true, Optional.of(policy), null)));
     }
 
     @Test
-    void aSidecarThatIsNotReadyAndDecidesAloneAnswersAgainByteForByte() {
-        StoredSamples.assertWritten(NO_CONSENSUS, answered(new FixedSidecar(false, Optional.empty(), "unused")));
+    void responsesWithoutReadinessAndConsensusEqualTheStoredOnesByteForByte() {
+        StoredSamples.assertWritten(NO_CONSENSUS, responsesOf(new FixedSidecar(false, Optional.empty(), "unused")));
     }
 
     @Test
-    void aRefusedProposalIsAnsweredAgainByteForByte() {
+    void responsesToRejectedChangesEqualTheStoredOnesByteForByte() {
         SidecarControl control =
                 new FixedSidecar(true, Optional.of(Map.of()), "a change is under way: see its status, or take it back");
-        StringBuilder answers = new StringBuilder();
-        for (AdminRequest call : List.of(new AdminRequest.Propose(), new AdminRequest.Abort())) {
-            new SidecarRequestHandler(control).handle(call, (status, body) -> answers.append(status)
+        StringBuilder responses = new StringBuilder();
+        for (AdminRequest request : List.of(new AdminRequest.Propose(), new AdminRequest.Abort())) {
+            new SidecarRequestHandler(control).handle(request, (status, body) -> responses
+                    .append(status)
                     .append(' ')
                     .append(new String(JsonObject.write(body), StandardCharsets.UTF_8))
                     .append('\n'));
         }
         StoredSamples.assertWritten(
-                "admin-answers-conflict.txt", answers.toString().getBytes(StandardCharsets.UTF_8));
+                "admin-answers-conflict.txt", responses.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** With its status line, its headers and the line's end behind its body. */
+    /** Compares status line, headers and body, including the newline after the body. */
     @Test
-    void anAnswerOnTheWireIsTheSameByteForByte() throws Exception {
+    void httpResponseEqualsTheStoredOneByteForByte() throws Exception {
         NioEventLoopGroup loop = new NioEventLoopGroup(1);
         try {
             InetSocketAddress address = new AdminServer(
--- a/src/test/java/loadbalancer/stored/CapacitySlopesTest.java
+++ b/src/test/java/loadbalancer/stored/CapacitySlopesTest.java
@@ -10,13 +10,13 @@
 import loadbalancer.capacity.ScaleMetric;
 import org.junit.jupiter.api.Test;
 
-/** Slopes that a scale run recorded, by which the capacity page is made. */
+/** Compatibility of the recorded slopes of a scale run, from which the capacity page is generated. */
 class CapacitySlopesTest {
     private static final String SAMPLE = "capacity-slopes.csv", DATE = "2026-12-02";
     private static final List<Integer> SIZES = List.of(260, 525, 1050, 2100);
 
     @Test
-    void theStoredSlopesAreReadAndWrittenAgainByteForByte() {
+    void storedSlopesAreReadAndWrittenByteForByte() {
         Map<ScaleMetric, RecordedSlope> expected = Map.of(
                 ScaleMetric.VOTER_DATAGRAMS,
                 new RecordedSlope(ScaleMetric.VOTER_DATAGRAMS, new LinearFit(3.04249, 2.66934, 0.001), SIZES, DATE),
@@ -30,9 +30,9 @@
                         List.of(1, 2, 4),
                         DATE));
         StringBuilder written = new StringBuilder(RecordedSlope.HEADER).append('\n');
-        for (ScaleMetric figure :
+        for (ScaleMetric metric :
                 List.of(ScaleMetric.VOTER_DATAGRAMS, ScaleMetric.MEMBER_CORES, ScaleMetric.CHAIN_ATTEMPTS_LOG)) {
-            written.append(expected.get(figure).line()).append('\n');
+            written.append(expected.get(metric).line()).append('\n');
         }
         StoredSamples.assertWritten(SAMPLE, written.toString().getBytes(StandardCharsets.UTF_8));
         assertEquals(expected, RecordedSlope.read(StoredSamples.lines(SAMPLE)));
--- a/src/test/java/loadbalancer/stored/EndpointListTest.java
+++ b/src/test/java/loadbalancer/stored/EndpointListTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The endpoint list that a sidecar keeps on disk over a restart. */
+/** Compatibility of the endpoint list that a sidecar stores on disk for its next start. */
 class EndpointListTest {
     private static final String SAMPLE = "endpoint-list.bin", FLEET = "orders";
-    private static final long NUMBER = 7;
+    private static final long SEQUENCE = 7;
     private static final EndpointList LIST = new EndpointList(
             ListSource.DISK,
             4_711,
@@ -72,22 +72,22 @@
                             null)));
 
     @Test
-    void aStoredListIsReadAndWrittenAgainByteForByte() throws Exception {
-        StoredSamples.assertWritten(SAMPLE, new EndpointListFile(NUMBER, LIST).encode(FLEET));
-        assertEquals(new EndpointListFile(NUMBER, LIST), EndpointListFile.decode(StoredSamples.bytes(SAMPLE), FLEET));
+    void storedListIsDecodedAndEncodedByteForByte() throws Exception {
+        StoredSamples.assertWritten(SAMPLE, new EndpointListFile(SEQUENCE, LIST).encode(FLEET));
+        assertEquals(new EndpointListFile(SEQUENCE, LIST), EndpointListFile.decode(StoredSamples.bytes(SAMPLE), FLEET));
     }
 
     @Test
-    void aStoredListIsFoundInItsFolderByNameAndTheNextOneIsNumberedBehindIt(@TempDir Path folder) throws Exception {
+    void storedListIsFoundByItsFileNameAndTheNextOneHasTheNextSequenceNumber(@TempDir Path folder) throws Exception {
         Files.write(folder.resolve("list.1"), StoredSamples.bytes(SAMPLE));
         try (EndpointListStore store = new EndpointListStore(folder, FLEET, 100_000)) {
-            assertEquals(Optional.of(LIST), store.read(note -> {
-                throw new AssertionError(note);
+            assertEquals(Optional.of(LIST), store.read(logLine -> {
+                throw new AssertionError(logLine);
             }));
             store.write(LIST);
         }
         assertEquals(
-                NUMBER + 1,
+                SEQUENCE + 1,
                 EndpointListFile.decode(Files.readAllBytes(folder.resolve("list.0")), FLEET)
                         .sequence());
     }
--- a/src/test/java/loadbalancer/stored/FoundScenarioTest.java
+++ b/src/test/java/loadbalancer/stored/FoundScenarioTest.java
@@ -14,7 +14,7 @@
 import loadbalancer.simulation.search.FaultSearch;
 import org.junit.jupiter.api.Test;
 
-/** A scenario that the search found and made short: a file over a shipped scenario, with values and events of its own. */
+/** Compatibility of scenarios that the search found and shortened: files that override values and faults of "calm". */
 class FoundScenarioTest {
     private static final String SAMPLE = "found-scenario.toml", ALL_FAULTS = "found-scenario-all-faults.toml";
     private static final Map<String, Object> VALUES =
@@ -25,9 +25,9 @@
         return ScenarioFile.parse(name, String.join("\n", StoredSamples.lines(name)), Map.of());
     }
 
-    /** The faults are those that the search draws from its seed. */
+    /** The expected faults are drawn by the search from a fixed seed. */
     @Test
-    void aFoundScenarioIsReadAndWrittenAgainByteForByte() throws Exception {
+    void foundScenarioIsReadAndWrittenByteForByte() throws Exception {
         Scenario drawn = new FaultSearch("calm", VALUES, FaultSearch::sound).draw(3, 2);
         StoredSamples.assertWritten(
                 SAMPLE,
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void eachKindOfFaultIsReadAndWrittenAgainByteForByte() throws Exception {
+    void eachKindOfFaultIsReadAndWrittenByteForByte() throws Exception {
         List<Fault> faults = java.util.Arrays.stream(Kind.values())
                 .map(kind -> new Fault(
                         1_000_000L * (kind.ordinal() + 1),
--- a/src/test/java/loadbalancer/stored/SimulationRunsTest.java
+++ b/src/test/java/loadbalancer/stored/SimulationRunsTest.java
@@ -17,27 +17,27 @@
 import loadbalancer.simulation.scenario.ScenarioFile;
 import org.junit.jupiter.api.Test;
 
-/** Runs of the simulation as {@code lab run --json} keeps them, a line each, for reports and comparisons. */
+/** Compatibility of simulation runs, which {@code lab run --json} writes as JSON lines for reports and comparisons. */
 class SimulationRunsTest {
     private static final String SAMPLE = "simulation-runs.json";
-    private static final Map<String, Object> SMALL =
+    private static final Map<String, Object> SMALL_FLEET =
             Map.of("fleet.length", "2s", "fleet.nodes", 3L, "fleet.sidecars", 1L);
 
     @Test
-    void theSameRunsAreWrittenAgainByteForByte() throws Exception {
-        Scenario calm = ScenarioFile.read("calm", SMALL);
+    void runsEqualTheStoredOnesByteForByte() throws Exception {
+        Scenario calm = ScenarioFile.read("calm", SMALL_FLEET);
         Fault crash = new Fault(500_000, Fault.Kind.CRASH, "", List.of(0), 1, 400_000, 0, 0);
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         for (Scenario scenario : List.of(calm, calm.with(List.of(crash), 2))) {
-            SimulationRun day = new SimulatedFleet(scenario, Engine.balancer(scenario.operator()), null).play();
-            lines.write(JsonObject.write(day.asMap()));
+            SimulationRun run = new SimulatedFleet(scenario, Engine.balancer(scenario.operator()), null).play();
+            lines.write(JsonObject.write(run.asMap()));
             lines.write('\n');
         }
         StoredSamples.assertWritten(SAMPLE, lines.toByteArray());
     }
 
     @Test
-    void storedRunsAreReadForAReport() {
+    void reportIsGeneratedFromStoredRuns() {
         List<JsonObject> runs = StoredSamples.lines(SAMPLE).stream()
                 .map(line -> JsonObject.parse(line.getBytes(StandardCharsets.UTF_8)))
                 .toList();
--- a/src/test/java/loadbalancer/stored/StoredSamples.java
+++ b/src/test/java/loadbalancer/stored/StoredSamples.java
@@ -9,13 +9,13 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** Loads the samples under {@code src/test/resources/stored}: bytes that an earlier version of the program wrote. */
+/** Loads the samples in {@code src/test/resources/stored}, which an earlier version of the program wrote. */
 public final class StoredSamples {
     private static final String FOLDER = "/stored/";
 
     private StoredSamples() {}
 
-    /** The bytes of a sample, by its name below the folder. */
+    /** The bytes of a sample, by its path in the folder. */
     public static byte[] bytes(String name) {
         try (InputStream in = StoredSamples.class.getResourceAsStream(FOLDER + name)) {
             if (in == null) {
@@ -32,12 +32,12 @@
         return new String(bytes(name), StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** The bytes of a message that is stored as hexadecimal digits on one line. */
+    /** The bytes of a message, which is stored as one line of hexadecimal digits. */
     public static byte[] message(String name) {
         return HexFormat.of().parseHex(lines("messages/" + name + ".hex").get(0));
     }
 
-    /** Fails where a text or a file that the program writes now differs in any byte from the sample. */
+    /** Fails if {@code written}, a text or a file that the program writes now, differs from the sample in any byte. */
     public static void assertWritten(String name, byte[] written) {
         byte[] stored = bytes(name);
         assertEquals(
@@ -46,7 +46,7 @@
                 name);
     }
 
-    /** Fails where a message that the program sends now differs in any byte from the sample. */
+    /** Fails if {@code sent}, a message that the program sends now, differs from the sample in any byte. */
     public static void assertSent(String name, byte[] sent) {
         assertEquals(HexFormat.of().formatHex(message(name)), HexFormat.of().formatHex(sent), name);
     }
