--- a/src/main/java/loadbalancer/core/LogEvent.java
+++ b/src/main/java/loadbalancer/core/LogEvent.java
@@ -57,7 +57,7 @@
         return fault;
     }
 
-    /** The text for people; empty where none was set. */
+    /** The text for people; empty if not set. */
     public String text() {
         return text;
     }
--- a/src/main/java/loadbalancer/core/Requests.java
+++ b/src/main/java/loadbalancer/core/Requests.java
@@ -193,16 +193,17 @@
         if (exchange == null) {
             return;
         }
-        int number = exchange.attempts().size();
+        int attemptNumber = exchange.attempts().size();
         long attemptDeadlineMicros =
                 untilMicros <= 0 ? exchange.deadlineMicros : Math.min(untilMicros, exchange.deadlineMicros);
         if (exchange.trace() != null) {
             exchange.trace().attemptStarted(upstream);
         }
-        boolean dropped =
-                number >= exchange.maxAttempts || attemptDeadlineMicros <= clock.nowMicros() || !isWanted(exchange);
+        boolean dropped = attemptNumber >= exchange.maxAttempts
+                || attemptDeadlineMicros <= clock.nowMicros()
+                || !isWanted(exchange);
         Attempt attempt = exchange.attemptFactory()
-                .create(upstream, attemptDeadlineMicros, new AttemptObserver(exchange, number));
+                .create(upstream, attemptDeadlineMicros, new AttemptObserver(exchange, attemptNumber));
         attempt.sendBefore(exchange.sendBeforeMicros());
         exchange.attempts().add(attempt);
         attemptListener.attemptStarted(exchange.request(), attempt);
@@ -223,13 +224,14 @@
     }
 
     private void attemptEnded(
-            Exchange exchange, int number, Attempt attempt, Outcome outcome, LoadReport report, ByteBuf body) {
+            Exchange exchange, int attemptNumber, Attempt attempt, Outcome outcome, LoadReport report, ByteBuf body) {
         eventHandled();
         if (outcome.mayHaveRun && attempt.writtenMicros() > 0) {
             exchange.mayHaveRunMicros = Math.min(exchange.mayHaveRunMicros, attempt.writtenMicros());
         }
         if (exchange.trace() != null) {
-            exchange.trace().attemptEnded(number, outcome, attempt.writtenMicros(), attempt.openedConnection(), report);
+            exchange.trace()
+                    .attemptEnded(attemptNumber, outcome, attempt.writtenMicros(), attempt.openedConnection(), report);
         }
         if (exchange.streamingAttempt == attempt && !exchange.answered) {
             // The response was streamed to the client and has ended.
@@ -246,7 +248,7 @@
                 balancer -> balancer.onOutcome(
                         nowMicros,
                         exchange.request().id(),
-                        number,
+                        attemptNumber,
                         attempt.upstream(),
                         outcome,
                         nowMicros - attempt.sentMicros(),
@@ -255,13 +257,13 @@
                 () -> failIfNoOpenAttempt(exchange));
     }
 
-    private boolean beginStreaming(Exchange exchange, int number, Attempt attempt) {
+    private boolean beginStreaming(Exchange exchange, int attemptNumber, Attempt attempt) {
         if (exchange.answered || exchange.streamingAttempt != null) {
             return false;
         }
         exchange.streamingAttempt = attempt;
         if (exchange.trace() != null) {
-            exchange.trace().attemptStreaming(number);
+            exchange.trace().attemptStreaming(attemptNumber);
         }
         exchange.overdueTimer.cancel();
         long nowMicros = clock.nowMicros();
@@ -269,7 +271,7 @@
                 balancer -> balancer.onStreamStart(
                         nowMicros,
                         exchange.request().id(),
-                        number,
+                        attemptNumber,
                         attempt.upstream(),
                         nowMicros - attempt.sentMicros()),
                 () -> {});
@@ -313,13 +315,15 @@
     }
 
     /** Abandons an attempt, by its number from 0 on. No effect if it has ended. */
-    public void cancel(String id, int attempt) {
+    public void cancel(String id, int attemptNumber) {
         Exchange exchange = exchanges.get(id);
-        if (exchange != null && attempt >= 0 && attempt < exchange.attempts().size()) {
+        if (exchange != null
+                && attemptNumber >= 0
+                && attemptNumber < exchange.attempts().size()) {
             if (exchange.trace() != null) {
-                exchange.trace().attemptCancelled(attempt);
+                exchange.trace().attemptCancelled(attemptNumber);
             }
-            exchange.attempts().get(attempt).cancel();
+            exchange.attempts().get(attemptNumber).cancel();
         }
     }
 
@@ -352,16 +356,16 @@
     /** Listens to one attempt of an exchange. */
     private final class AttemptObserver implements Attempt.Listener {
         private final Exchange exchange;
-        private final int number;
+        private final int attemptNumber;
 
-        AttemptObserver(Exchange exchange, int number) {
+        AttemptObserver(Exchange exchange, int attemptNumber) {
             this.exchange = exchange;
-            this.number = number;
+            this.attemptNumber = attemptNumber;
         }
 
         @Override
         public void onEnd(Attempt attempt, Outcome outcome, LoadReport report, ByteBuf body) {
-            attemptEnded(exchange, number, attempt, outcome, report, body);
+            attemptEnded(exchange, attemptNumber, attempt, outcome, report, body);
         }
 
         @Override
@@ -376,7 +380,7 @@
 
         @Override
         public boolean beginStreaming(Attempt attempt) {
-            return Requests.this.beginStreaming(exchange, number, attempt);
+            return Requests.this.beginStreaming(exchange, attemptNumber, attempt);
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/ClientConnection.java
@@ -31,7 +31,7 @@
  * are not valid HTTP, and when it has been idle too long.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** Bytes after the last valid request that are read and discarded, so that the client's close is still noticed. */
+    /** Limit on bytes after the last valid request, which are read and discarded to notice the client's close. */
     private static final int MAX_DISCARDED_BYTES = 1024 * 1024;
 
     private static final String READY_PATH = "/health/ready";
@@ -51,7 +51,7 @@
     /** Whether a request is being handled or the response with {@link #finalStatus} is being written. */
     private boolean busy;
     /** The admitted request that waits for its response; null if there is none. */
-    private ClientExchange current;
+    private ClientExchange currentExchange;
     /** The large body of the request being handled, complete or not; null if it has none. */
     private RequestBodyForwarder currentBody;
     /** The complete body whose held last piece is forwarded at the end of the read; null if there is none. */
@@ -62,7 +62,7 @@
     private ChannelFuture responseWrite;
     /** Whether the connection has carried a request. */
     private boolean hasRequests;
-    /** Status of the response that ends the connection after the pending ones; null if none. Discards later input. */
+    /** Status of the last response, which follows the pending ones; null if none. Later input is discarded. */
     private HttpResponseStatus finalStatus;
     /** Number of bytes received since {@link #finalStatus} was set. */
     private int discardedBytes;
@@ -195,11 +195,11 @@
             // The response was written before the end of the body. A close with unread input would reset the client, so
             // it had to wait until now.
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-        } else if (body == currentBody && current != null) {
-            long deadlineMicros = current.deadlineAfter(body.completeAtMicros());
-            requests.bodyComplete(current.exchange(), deadlineMicros);
-            if (current.bodyCall() != null) {
-                current.bodyCall().bodyComplete(deadlineMicros);
+        } else if (body == currentBody && currentExchange != null) {
+            long deadlineMicros = currentExchange.deadlineAfter(body.completeAtMicros());
+            requests.bodyComplete(currentExchange.exchange(), deadlineMicros);
+            if (currentExchange.bodyCall() != null) {
+                currentExchange.bodyCall().bodyComplete(deadlineMicros);
             }
         }
         if (body.hasHeldLastPiece()) {
@@ -232,9 +232,9 @@
             channel.close();
             return;
         }
-        if (body == currentBody && current != null) {
-            ClientExchange failed = current;
-            current = null;
+        if (body == currentBody && currentExchange != null) {
+            ClientExchange failed = currentExchange;
+            currentExchange = null;
             busy = false;
             requests.failedByFrontEnd(failed.exchange());
         } else {
@@ -314,7 +314,7 @@
             respond(false, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER, 0);
             return;
         }
-        current = admitted;
+        currentExchange = admitted;
         server.requestAdmitted();
         requests.admit(admitted.exchange());
     }
@@ -332,7 +332,7 @@
 
     /** Handles the next request or closes the connection, now that the end of a response was written. */
     void responseWritten(boolean keepsOpen, ChannelFuture written) {
-        current = null;
+        currentExchange = null;
         busy = false;
         timeouts.markActive(clock.nowMicros());
         responseWrite = written;
@@ -380,7 +380,7 @@
     /** Forgets the current exchange: its streamed response was truncated, and the connection is about to be reset. */
     void streamAborted() {
         streamingUpstream = null;
-        current = null;
+        currentExchange = null;
     }
 
     @Override
@@ -429,9 +429,9 @@
     public void channelInactive(ChannelHandlerContext context) {
         pipeline.clear();
         assembler.release();
-        if (current != null) {
-            ClientExchange abandoned = current;
-            current = null;
+        if (currentExchange != null) {
+            ClientExchange abandoned = currentExchange;
+            currentExchange = null;
             requests.clientLeft(abandoned.exchange());
             if (streamingUpstream != null) {
                 streamingUpstream.clientLeft();
--- a/src/main/java/loadbalancer/http1/HttpServer.java
+++ b/src/main/java/loadbalancer/http1/HttpServer.java
@@ -122,8 +122,8 @@
      * and closes each new connection after its first response. It keeps listening so that readiness checks get a
      * response.
      */
-    public void setOutOfService(boolean out) {
-        if (!out) {
+    public void setOutOfService(boolean outOfService) {
+        if (!outOfService) {
             outOfServiceSinceMicros = 0;
         } else if (outOfServiceSinceMicros == 0) {
             outOfServiceSinceMicros = clock.nowMicros();
