--- a/src/main/java/loadbalancer/balancing/Balancer.java
+++ b/src/main/java/loadbalancer/balancing/Balancer.java
@@ -79,7 +79,7 @@
      * @param idempotencyWindowMicros time for which upstreams of the scope drop repeats of a key, microseconds
      * @param latencyObjectiveMicros a response has its full weight within this and the stretch times the request's
      *     work, microseconds
-     * @param latencyObjectiveStretch multiple of the work that is added to the objective
+     * @param latencyObjectiveWorkMultiple multiple of the work that is added to the objective
      * @param deadlineMicros longest time for which clients wait, microseconds
      * @param priorityWeight weight of a response in time
      * @param lateWeightFraction part of the weight of a response after the objective
@@ -91,7 +91,7 @@
             IdempotencyScope idempotencyScope,
             long idempotencyWindowMicros,
             long latencyObjectiveMicros,
-            double latencyObjectiveStretch,
+            double latencyObjectiveWorkMultiple,
             long deadlineMicros,
             double priorityWeight,
             double lateWeightFraction,
@@ -170,10 +170,10 @@
         private static final double MAX_SAMPLING_PRICE = 0.005;
 
         /** The same where only so many sidecars share the upstreams; the index is one of theirs. */
-        public Settings sharedBy(int sharers) {
+        public Settings withSidecarCount(int sidecarCount) {
             return new Settings(
-                    sidecarIndex % sharers,
-                    sharers,
+                    sidecarIndex % sidecarCount,
+                    sidecarCount,
                     zone,
                     zones,
                     machineTypes,
@@ -295,7 +295,7 @@
      */
     record Request(
             String id,
-            long key,
+            long affinityKey,
             boolean retriedByClient,
             boolean write,
             double costHintMicros,
@@ -309,20 +309,30 @@
         /** An HTTP/1.1 request that is no stream. */
         public Request(
                 String id,
-                long key,
+                long affinityKey,
                 boolean retriedByClient,
                 boolean write,
                 double costHintMicros,
                 long remainingMicros,
                 String tenant,
                 String requestClass) {
-            this(id, key, retriedByClient, write, costHintMicros, remainingMicros, tenant, requestClass, HTTP1, false);
+            this(
+                    id,
+                    affinityKey,
+                    retriedByClient,
+                    write,
+                    costHintMicros,
+                    remainingMicros,
+                    tenant,
+                    requestClass,
+                    HTTP1,
+                    false);
         }
 
         /** A request without an idempotency key. */
         public Request(
                 String id,
-                long key,
+                long affinityKey,
                 boolean retriedByClient,
                 boolean write,
                 double costHintMicros,
@@ -333,7 +343,7 @@
                 boolean streaming) {
             this(
                     id,
-                    key,
+                    affinityKey,
                     retriedByClient,
                     write,
                     costHintMicros,
@@ -349,7 +359,7 @@
         /** A request of the class that the settings have when it is admitted. */
         public Request(
                 String id,
-                long key,
+                long affinityKey,
                 boolean retriedByClient,
                 boolean write,
                 double costHintMicros,
@@ -361,7 +371,7 @@
                 String idempotencyKey) {
             this(
                     id,
-                    key,
+                    affinityKey,
                     retriedByClient,
                     write,
                     costHintMicros,
--- a/src/main/java/loadbalancer/balancing/RequestFactory.java
+++ b/src/main/java/loadbalancer/balancing/RequestFactory.java
@@ -40,8 +40,8 @@
         TrackedRequest request = new TrackedRequest(arrival, requestClass, workMicros, maxAttempts);
         request.deadlineMicros = nowMicros + arrival.remainingMicros();
         request.contentionDraw = context.random.nextDouble();
-        long objectiveMicros =
-                (long) (requestClass.latencyObjectiveMicros() + requestClass.latencyObjectiveStretch() * workMicros);
+        long objectiveMicros = (long)
+                (requestClass.latencyObjectiveMicros() + requestClass.latencyObjectiveWorkMultiple() * workMicros);
         long usefulMicros = requestClass.lateWeightFraction() > 0 ? arrival.remainingMicros() : objectiveMicros;
         request.usefulUntilMicros = Math.min(request.deadlineMicros, nowMicros + usefulMicros);
         double rank = (1 - requestClass.priorityWeight() / maxPriorityWeight) / 2 + (arrival.retriedByClient() ? 1 : 0);
--- a/src/main/java/loadbalancer/core/RequestClasses.java
+++ b/src/main/java/loadbalancer/core/RequestClasses.java
@@ -65,7 +65,7 @@
                 requestClass.idempotencyScope(),
                 Math.min(requestClass.idempotencyWindowMicros(), previousClass.idempotencyWindowMicros()),
                 requestClass.latencyObjectiveMicros(),
-                requestClass.latencyObjectiveStretch(),
+                requestClass.latencyObjectiveWorkMultiple(),
                 Math.min(requestClass.deadlineMicros(), previousClass.deadlineMicros()),
                 requestClass.priorityWeight(),
                 requestClass.lateWeightFraction(),
--- a/src/main/java/loadbalancer/sidecar/Engine.java
+++ b/src/main/java/loadbalancer/sidecar/Engine.java
@@ -153,7 +153,7 @@
         if (operator.subset() != null) {
             int nodes = lists.stream().mapToInt(l -> l.endpoints().size()).max().orElse(0);
             int sharers = Subset.sidecarsPerUpstream(operator.subset(), settings.sidecarCount(), nodes);
-            balancerSettings = settings.sharedBy(sharers);
+            balancerSettings = settings.withSidecarCount(sharers);
             endpoints.useSubset(
                     new Subset(operator.subset(), settings.sidecarIndex(), settings.sidecarCount(), clock.nowMicros()));
         }
--- a/src/test/java/loadbalancer/simulation/search/SearchTest.java
+++ b/src/test/java/loadbalancer/simulation/search/SearchTest.java
@@ -117,7 +117,7 @@
                                                         IdempotencyScope.ALL,
                                                         c.idempotencyWindowMicros(),
                                                         c.latencyObjectiveMicros(),
-                                                        c.latencyObjectiveStretch(),
+                                                        c.latencyObjectiveWorkMultiple(),
                                                         c.deadlineMicros(),
                                                         c.priorityWeight(),
                                                         c.lateWeightFraction(),
