--- a/src/main/java/loadbalancer/balancing/ArrivalRateEstimator.java
+++ b/src/main/java/loadbalancer/balancing/ArrivalRateEstimator.java
@@ -1,8 +1,8 @@
 package loadbalancer.balancing;
 
-/** Rate of the sidecar's own requests, an exponential moving average. */
+/** Estimates this sidecar's request rate as an exponential moving average. */
 final class ArrivalRateEstimator {
-    /** Averaging time, microseconds: a burst shows within a second or two. */
+    /** Time constant of the average, microseconds; short enough to show a burst within a second or two. */
     private static final double AVERAGING_MICROS = 2_000_000;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -17,7 +17,7 @@
         measuredMicros = nowMicros;
     }
 
-    /** Own requests a second at the last measurement. */
+    /** Returns the requests per second as of the last measurement. */
     double requestsPerSecond() {
         return requestsPerSecond;
     }
@@ -26,7 +26,10 @@
         arrivals++;
     }
 
-    /** Includes the arrivals since the last measurement; shortly after the start the average covers all of them. */
+    /**
+     * Updates the rate with the arrivals since the last measurement; soon after the start the average covers
+     * all arrivals.
+     */
     void measure(long nowMicros) {
         double elapsedMicros = Math.max(1, nowMicros - measuredMicros);
         double windowMicros = Math.max(elapsedMicros, Math.min(AVERAGING_MICROS, nowMicros - startedMicros));
--- a/src/main/java/loadbalancer/balancing/AttemptRules.java
+++ b/src/main/java/loadbalancer/balancing/AttemptRules.java
@@ -5,7 +5,7 @@
 import loadbalancer.balancing.Balancer.RequestClass;
 import loadbalancer.balancing.Balancer.Uncertainty;
 
-/** The rules that every send and every rejection must pass, whatever else decides. */
+/** Rules that every attempt and every rejection must satisfy, whichever component decides on it. */
 final class AttemptRules {
     private final BalancerContext context;
     private final SlowStart slowStart;
@@ -15,11 +15,11 @@
         this.slowStart = slowStart;
     }
 
-    /** Whether an attempt at the request may go to the upstream now. */
+    /** Returns whether an attempt at the request may be sent to the upstream now. */
     boolean maySend(long nowMicros, TrackedRequest request, TrackedUpstream upstream) {
-        boolean spent = request.attempts.size() >= request.maxAttempts;
-        boolean over = request.finished || request.responseStarted || nowMicros >= request.deadlineMicros;
-        if (over || spent || !upstream.ready) {
+        boolean noAttemptsLeft = request.attempts.size() >= request.maxAttempts;
+        boolean ended = request.finished || request.responseStarted || nowMicros >= request.deadlineMicros;
+        if (ended || noAttemptsLeft || !upstream.ready) {
             return false;
         }
         if ((upstream.endpoint.protocols() & request.arrival.protocol()) == 0) {
@@ -37,7 +37,7 @@
                 && context.constraints.allows(nowMicros, request.arrival, upstream.endpoint);
     }
 
-    /** Whether the request may run on the upstream though an earlier attempt may have run as well. */
+    /** Returns whether the request may run on the upstream although an earlier attempt may have run too. */
     static boolean isRetrySafe(TrackedAttempt earlier, TrackedUpstream upstream, long nowMicros) {
         RequestClass requestClass = earlier.request.requestClass;
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
@@ -47,7 +47,8 @@
                 || nowMicros - earlier.sentMicros >= requestClass.idempotencyWindowMicros()) {
             return false;
         }
-        // Without a confirmed identity its zone and cell are unknown: only the upstream itself surely drops the repeat.
+        // Without a confirmed identity the zone and cell are unknown: only the same upstream is certain to
+        // deduplicate the request.
         boolean uncertain = upstream.endpoint.uncertainty() != Uncertainty.NONE
                 || earlier.endpointAtSend.uncertainty() != Uncertainty.NONE;
         if (uncertain && requestClass.idempotencyScope() != IdempotencyScope.ALL) {
@@ -61,7 +62,8 @@
     }
 
     /**
-     * Whether the request may be rejected: that says that nothing has run, so what may have run can only be failed.
+     * Returns whether the request may be rejected. A rejection implies that no attempt has run; a request of
+     * which an attempt may have run can only be failed.
      */
     boolean mayReject(TrackedRequest request) {
         if (request.finished || request.responseStarted) {
--- a/src/main/java/loadbalancer/balancing/Balancer.java
+++ b/src/main/java/loadbalancer/balancing/Balancer.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * The interface of the decision module: events come in as method calls, decisions go out through {@link Actions}.
- * Times are microseconds of one clock that only moves forward; the module has no other clock.
+ * Interface of the decision module. Events arrive as method calls, decisions are issued through
+ * {@link Actions}. All times are microseconds of one monotonic clock that the caller passes in; the module
+ * reads no clock itself.
  */
 public interface Balancer {
     /**
-     * Whether a request may run more than once: always, on upstreams that drop repeats of its idempotency key, or
-     * never.
+     * Whether a request may run more than once: always, only on upstreams that deduplicate by its idempotency
+     * key, or never.
      */
     enum Idempotency {
         IDEMPOTENT,
@@ -17,14 +18,14 @@
         NOT_IDEMPOTENT
     }
 
-    /** Which upstreams drop repeats of an idempotency key: all, those of one zone, or those of one cell. */
+    /** The set of upstreams that deduplicate an idempotency key together: all, one zone's or one cell's. */
     enum IdempotencyScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** State of an upstream in the endpoint list. */
+    /** State of an upstream as given by the endpoint list. */
     enum UpstreamState {
         GONE,
         READY,
@@ -32,8 +33,8 @@
     }
 
     /**
-     * What an endpoint list is: the changes, all there is, a failed call to discovery, or one cached or known from
-     * elsewhere.
+     * Kind of an endpoint list: changed entries only, the complete list, no list because a call to discovery
+     * failed, or a complete list from a cache or another source than discovery.
      */
     enum EndpointListKind {
         DELTA,
@@ -42,7 +43,7 @@
         CACHED
     }
 
-    /** Where upstreams report their load: nowhere, in each response, or in responses to health checks. */
+    /** How upstreams report their load: not at all, in each response, or in responses to health checks. */
     enum LoadReporting {
         NONE,
         IN_RESPONSES,
@@ -50,8 +51,9 @@
     }
 
     /**
-     * {@code MALFORMED}: the upstream sent something that is no valid response. {@code INVALID}: the request itself
-     * was found to be invalid, which says nothing of the upstream.
+     * Outcome of an attempt or a health check. {@code MALFORMED}: the upstream sent something that is not a
+     * valid response. {@code INVALID}: the request itself is invalid, which implies nothing about the
+     * upstream.
      */
     enum Outcome {
         OK(true),
@@ -65,7 +67,7 @@
         MALFORMED(true),
         INVALID(true);
 
-        /** False where the outcome proves that the attempt never ran. */
+        /** False if the outcome proves that the upstream never processed the attempt. */
         public final boolean mayHaveRun;
 
         Outcome(boolean mayHaveRun) {
@@ -74,16 +76,17 @@
     }
 
     /**
-     * A class of requests in the settings.
+     * A request class from the settings.
      *
-     * @param idempotencyWindowMicros time for which upstreams of the scope drop repeats of a key, microseconds
-     * @param latencyObjectiveMicros a response has its full weight within this and the stretch times the request's
-     *     work, microseconds
-     * @param latencyObjectiveWorkMultiple multiple of the work that is added to the objective
-     * @param deadlineMicros longest time for which clients wait, microseconds
-     * @param priorityWeight weight of a response in time
-     * @param lateWeightFraction part of the weight of a response after the objective
-     * @param streaming whether responses may go on as streams
+     * @param idempotencyWindowMicros time for which upstreams of the scope deduplicate a key, microseconds
+     * @param latencyObjectiveMicros fixed part of the latency objective, microseconds; a response within the
+     *     objective has its full weight
+     * @param latencyObjectiveWorkMultiple multiple of the request's expected work that is added to the
+     *     objective
+     * @param deadlineMicros longest time that clients wait, microseconds
+     * @param priorityWeight weight of a response that meets the objective
+     * @param lateWeightFraction fraction of the weight that a response after the objective still has
+     * @param streaming whether responses may be streams
      */
     record RequestClass(
             String name,
@@ -97,16 +100,16 @@
             double lateWeightFraction,
             boolean streaming) {}
 
-    /** A tenant, its share of the fleet's capacity, and its quota of requests a second. */
+    /** A tenant, its share of the fleet's capacity, and its quota in requests per second. */
     record Tenant(String name, double capacityShare, double quotaPerSecond) {}
 
     /**
-     * What the platform allows a sidecar.
+     * Limits that the platform sets for a sidecar.
      *
-     * @param maxAttempts attempts at one request
-     * @param maxRetryAfterMicros longest Retry-After of a rejection, microseconds
+     * @param maxAttempts largest number of attempts at one request
+     * @param maxRetryAfterMicros largest Retry-After of a rejection, microseconds
      * @param connectionIdleMicros time after which upstreams close an idle connection, microseconds
-     * @param cpuMicrosPerRequest mean processor time for one request, microseconds; 0 for no limit
+     * @param cpuMicrosPerRequest largest mean CPU time per request, microseconds; 0 for no limit
      */
     record Limits(
             int maxAttempts,
@@ -120,14 +123,14 @@
             double cpuMicrosPerRequest) {}
 
     /**
-     * Values of the rules, times in microseconds.
+     * Parameters of the platform's rules; times in microseconds.
      *
-     * @param slowStartInitialFraction least capacity of an upstream that has just started, as a part of its full
-     *     one
-     * @param overloadMultiple work in an overload window at which a warming upstream falls over, as a multiple of
-     *     its present capacity
-     * @param closeOnDrainMicros time within which idle connections to a draining upstream have to be closed; 0 for
-     *     no such rule
+     * @param slowStartInitialFraction capacity that an upstream has at least when it starts, as a fraction of
+     *     its full capacity
+     * @param overloadMultiple work within an overload window that overloads an upstream in slow start, as a
+     *     multiple of its current capacity
+     * @param closeOnDrainMicros time within which idle connections to a draining upstream must be closed; 0
+     *     if there is no such rule
      */
     record Rules(
             long drainGraceMicros,
@@ -139,15 +142,16 @@
             long responseSlackMicros,
             long closeOnDrainMicros) {}
 
-    /** Price of each unit of use, in points of the result; 0 where it is free. */
+    /** Price per unit of use, in points of the score; 0 if it is free. */
     record Prices(double crossZone, double gossip, double healthCheck, double connection, double handshake) {}
 
     /**
-     * All that a sidecar is given at its start.
+     * Settings that a sidecar is started with.
      *
-     * @param sidecarIndex its number among {@code sidecarCount}, from 0
-     * @param weightsByWork responses are weighted by their work
-     * @param overQuotaWeight weight of a request above its tenant's share, as a fraction of its class's weight
+     * @param sidecarIndex index of this sidecar among {@code sidecarCount}, from 0
+     * @param weightsByWork whether responses are weighted by their work
+     * @param overQuotaWeight weight of a request above its tenant's share, as a fraction of its class's
+     *     weight
      * @param tickMicros resolution of the host's timers, microseconds
      */
     record Settings(
@@ -166,10 +170,13 @@
             double overQuotaWeight,
             Prices prices,
             long tickMicros) {
-        /** Highest price of the health checks of one pair for each request, in points of the result. */
+        /** Highest price per request of health-checking a pair of upstreams, in points of the score. */
         private static final double MAX_SAMPLING_PRICE = 0.005;
 
-        /** The same where only so many sidecars share the upstreams; the index is one of theirs. */
+        /**
+         * Returns a copy for a sidecar whose upstreams are shared by only {@code sidecarCount} sidecars; the
+         * index is reduced modulo that count.
+         */
         public Settings withSidecarCount(int sidecarCount) {
             return new Settings(
                     sidecarIndex % sidecarCount,
@@ -190,12 +197,15 @@
         }
 
         /**
-         * The same sidecar with the classes, tenants, limits and rules of {@code next}; the rest holds for the life
-         * of the process.
+         * Returns a copy with the classes, tenants, limits, rules and weights of {@code next}. The other
+         * settings are fixed for the life of the process, as are the limits on health checks, gossip and idle
+         * connections.
+         *
+         * @param maxAttempts limit on attempts in the copy, in place of the one of {@code next}
          */
         public Settings reloadedFrom(Settings next, int maxAttempts) {
             Limits nextLimits = next.limits;
-            Limits within = new Limits(
+            Limits reloadedLimits = new Limits(
                     maxAttempts,
                     nextLimits.hedgingAllowed,
                     nextLimits.cancellationAllowed,
@@ -213,7 +223,7 @@
                     machineTypes,
                     next.classes,
                     next.tenants,
-                    within,
+                    reloadedLimits,
                     next.rules,
                     loadReporting,
                     pollsDiscovery,
@@ -224,8 +234,8 @@
         }
 
         /**
-         * Whether both upstreams of a pair are asked for their load before each request: allowed, reported, and
-         * cheap.
+         * Returns whether both upstreams of a drawn pair are health-checked for their load before each
+         * request. Health checks must be allowed and cheap enough, and upstreams must report their load.
          */
         public boolean samplesLoad() {
             return limits.healthChecksAllowed()
@@ -235,9 +245,10 @@
     }
 
     /**
-     * What is uncertain of an upstream that discovery has not confirmed. {@code IDENTITY}: an upstream answers
-     * there, but only an old list says which, so its zone and cell prove nothing of the repeats it drops. {@code
-     * SERVICE}: something accepts connections there, and nobody knows what.
+     * What is uncertain about an upstream that discovery has not confirmed. {@code IDENTITY}: an upstream
+     * responds at the address, but only an outdated list says which one, so its zone and cell do not show
+     * which idempotency keys it deduplicates. {@code SERVICE}: something accepts connections at the address,
+     * but it is not known to be the service.
      */
     enum Uncertainty {
         NONE,
@@ -245,17 +256,17 @@
         SERVICE
     }
 
-    /** Bit of HTTP/1.1 in the protocols that an upstream speaks and a request may use. */
+    /** Protocol bit for HTTP/1.1, see {@link Upstream#protocols} and {@link Request#protocol}. */
     int HTTP1 = 1;
-    /** Bit of gRPC in the same. */
+    /** Protocol bit for gRPC. */
     int GRPC = 2;
 
     /**
      * One entry of the endpoint list.
      *
-     * @param startedMicros start of its process, microseconds; 0 for long ago
-     * @param slowStartFromMicros above 0, the latest time at which it may have restarted: it warms up from then on,
-     *     whatever {@code startedMicros} says
+     * @param startedMicros time at which its process started, microseconds; 0 if it started long ago
+     * @param slowStartFromMicros if above 0, latest time at which it may have restarted, microseconds: the
+     *     slow-start budget applies from then on even if {@code startedMicros} is earlier
      * @param protocols bits of the protocols that it speaks, {@link #HTTP1} and {@link #GRPC}
      */
     record Upstream(
@@ -269,13 +280,19 @@
             Uncertainty uncertainty,
             long slowStartFromMicros,
             int protocols) {
-        /** An HTTP/1.1 upstream that discovery has confirmed. */
+        /** Creates an entry for an HTTP/1.1 upstream that discovery has confirmed. */
         public Upstream(
-                String id, String zone, String kind, int cell, long startedMicros, double weight, UpstreamState state) {
-            this(id, zone, kind, cell, startedMicros, weight, state, Uncertainty.NONE, 0, HTTP1);
+                String id,
+                String zone,
+                String machineType,
+                int cell,
+                long startedMicros,
+                double weight,
+                UpstreamState state) {
+            this(id, zone, machineType, cell, startedMicros, weight, state, Uncertainty.NONE, 0, HTTP1);
         }
 
-        /** Latest time at which it may have started, microseconds; 0 for long ago. */
+        /** Returns the latest time at which it may have started, microseconds; 0 if it started long ago. */
         public long latestStartMicros() {
             return Math.max(startedMicros, slowStartFromMicros);
         }
@@ -284,14 +301,17 @@
     /**
      * A request as it arrives.
      *
+     * @param affinityKey key of the client for session affinity; -1 if there is none
      * @param costHintMicros expected work, microseconds; 0 for no hint
-     * @param remainingMicros time until the client gives up, for a stream until it must have begun; microseconds
-     * @param protocol bit of its protocol
-     * @param streaming its response goes on for as long as both sides want: it takes one of its upstream's streams
-     *     and no place among the requests in flight, and its latency tells nothing of the upstream's speed
-     * @param idempotencyKey what stays the same over a client's own retries; null where there is none
-     * @param classAtAdmission the class as it was when the request was admitted; null for the class of that name in
-     *     the settings
+     * @param remainingMicros time until the client gives up, for a stream until it must have started;
+     *     microseconds
+     * @param protocol bit of its protocol, {@link #HTTP1} or {@link #GRPC}
+     * @param streaming whether it is a stream of unbounded duration: it occupies one of the upstream's
+     *     streams, does not count as a request in flight, and its latency is not used to estimate the
+     *     upstream's speed
+     * @param idempotencyKey key that stays the same when the client itself retries; null if there is none
+     * @param classAtAdmission the class as it was when the request was admitted; null to use the class of
+     *     that name in the settings
      */
     record Request(
             String id,
@@ -306,7 +326,7 @@
             boolean streaming,
             String idempotencyKey,
             RequestClass classAtAdmission) {
-        /** An HTTP/1.1 request that is no stream. */
+        /** Creates an HTTP/1.1 request that is not a stream. */
         public Request(
                 String id,
                 long affinityKey,
@@ -329,7 +349,7 @@
                     false);
         }
 
-        /** A request without an idempotency key. */
+        /** Creates a request without an idempotency key. */
         public Request(
                 String id,
                 long affinityKey,
@@ -356,7 +376,7 @@
                     null);
         }
 
-        /** A request of the class that the settings have when it is admitted. */
+        /** Creates a request whose class is looked up in the settings. */
         public Request(
                 String id,
                 long affinityKey,
@@ -385,81 +405,86 @@
         }
     }
 
-    /** A load report; values that the site does not report are negative. */
+    /** A load report; values that the upstream does not report are negative. */
     record LoadReport(double inFlight, double queued, double utilization) {}
 
-    /** The decisions of the module. Each action is carried out after the call in which it is decided. */
+    /** Decisions of the module, to be carried out by the host after the call that issued them. */
     interface Actions {
-        /** Sends an attempt at the request to the upstream, which has to respond by {@code untilMicros}. */
-        void send(String request, String upstreamId, long untilMicros);
+        /** Sends an attempt at the request to the upstream, which must respond by {@code deadlineMicros}. */
+        void send(String requestId, String upstreamId, long deadlineMicros);
 
-        /** Rejects the request, of which nothing has run; a Retry-After of 0 is none. */
-        void reject(String request, long retryAfterMicros);
+        /** Rejects a request of which no attempt has run; 0 means no Retry-After. */
+        void reject(String requestId, long retryAfterMicros);
 
-        /** Fails the request. */
-        void fail(String request);
+        /** Fails the request. Unlike a rejection, this does not imply that no attempt has run. */
+        void fail(String requestId);
 
         /** Cancels one attempt. */
-        void cancel(String request, int attempt);
+        void cancel(String requestId, int attempt);
 
         /** Sends a health check to the upstream. */
         void checkHealth(String upstreamId);
 
-        /** Asks discovery for a watch. */
+        /** Calls discovery to establish a watch. */
         void pollDiscovery();
 
-        /** Sends a message to the peer of this index. */
+        /** Sends a gossip message to the peer with this index. */
         void gossip(int peer, byte[] message);
 
         /** Closes this sidecar's idle connections to the upstream. */
         void closeIdleConnections(String upstreamId);
 
-        /** Starts a timer that comes back as {@link Balancer#onTimer} with the same mark. */
-        void startTimer(String mark, long delayMicros);
+        /** Starts a timer that calls {@link Balancer#onTimer} with the same name when it fires. */
+        void startTimer(String timerName, long delayMicros);
 
         /** Writes a line to the log. */
         void log(String text);
     }
 
     /**
-     * Replaces classes, tenants, limits and rules for requests that arrive from now on; all else stays as at the
-     * start.
+     * Applies settings made by {@link Settings#reloadedFrom}. Their classes apply to requests that arrive
+     * from now on.
      */
     default void onSettings(long nowMicros, Settings settings) {}
 
-    /** An endpoint list, or a failed call to discovery. */
+    /** Called with a new endpoint list, or after a failed call to discovery. */
     void onEndpointList(long nowMicros, EndpointListKind kind, List<Upstream> entries);
 
-    /** A request has arrived. */
+    /** Called when a request has arrived. */
     void onRequest(long nowMicros, Request request);
 
-    /** An attempt has ended. {@code done}: the request has its final answer, by this outcome or before it. */
+    /**
+     * Called when an attempt has ended.
+     *
+     * @param requestAnswered whether the request has its final answer, from this outcome or an earlier one
+     * @param report load report that came with the response; null if there is none
+     */
     void onOutcome(
             long nowMicros,
-            String request,
+            String requestId,
             int attempt,
             String upstreamId,
             Outcome outcome,
             long latencyMicros,
-            boolean done,
+            boolean requestAnswered,
             LoadReport report);
 
-    /** The response to an attempt has started as a stream. */
-    void onStreamStart(long nowMicros, String request, int attempt, String upstreamId, long latencyMicros);
+    /** Called when the response to an attempt has started as a stream. */
+    void onStreamStart(long nowMicros, String requestId, int attempt, String upstreamId, long latencyMicros);
 
-    /** A health check has ended; {@code report} is null where it brought none. */
+    /** Called when a health check has ended; {@code report} is null if there is no load report. */
     void onHealthCheck(long nowMicros, String upstreamId, Outcome outcome, long latencyMicros, LoadReport report);
 
-    /** The client has left, or the response is overdue: the request has ended. */
-    void onExpired(long nowMicros, String request);
+    /** Called when a request has ended without an answer: its client disconnected or its deadline passed. */
+    void onExpired(long nowMicros, String requestId);
 
-    /** A message from the peer of this index; it may be false or malformed. */
+    /** Called with a gossip message from the peer with this index; the message may be wrong or malformed. */
     void onGossip(long nowMicros, int peer, byte[] message);
 
-    /** A timer has fired. */
-    void onTimer(long nowMicros, String mark);
+    /** Called when the timer of this name has fired. */
+    void onTimer(long nowMicros, String timerName);
 
-    /** Whether the balancer keeps requests from the upstream now, by its own judgement. */
+    /** Returns whether the balancer's outlier detection currently ejects the upstream. */
     default boolean isEjected(long nowMicros, String upstreamId) {
         return false;
     }
--- a/src/main/java/loadbalancer/balancing/BalancerContext.java
+++ b/src/main/java/loadbalancer/balancing/BalancerContext.java
@@ -5,33 +5,47 @@
 import loadbalancer.balancing.Balancer.LoadReporting;
 import loadbalancer.balancing.Balancer.Settings;
 
-/** What all parts of one balancer share: settings, actions, inputs from other modules, the one random generator. */
+/**
+ * State that all components of a balancer share: settings, actions, inputs from other modules and the random
+ * generator.
+ */
 final class BalancerContext {
-    /** Sidecars that share one upstream where connections cost: enough for their streams to even out. */
+    /**
+     * Number of sidecars that share an upstream if connections have a price: enough to even out their
+     * requests.
+     */
     static final int SIDECARS_PER_UPSTREAM = 10;
-    /** Initial estimate of cores where nothing reports them. */
+    /** Initial estimate of an upstream's cores if there are no load reports. */
     private static final double UNREPORTED_CORES = 2;
 
-    /** Settings in force; classes, tenants, limits and rules may change, the rest holds for the process's life. */
+    /**
+     * Current settings; {@link Settings#reloadedFrom} says which of them may change.
+     */
     Settings settings;
 
     final Actions actions;
     final RoutingConstraints constraints;
     final PeerLoad peerLoad;
-    /** The only source of randomness: the order of draws is part of the behaviour. */
+    /** The only source of randomness; the order of draws is part of the behaviour. */
     final SplittableRandom random;
     /**
-     * Both upstreams of a pair are asked for their load by health checks: the sampled load of the paper's
-     * Power-of-D.
+     * Whether both upstreams of a pair are health-checked for their load: the sampled load of Power-of-D in
+     * the HALO paper.
      */
     final boolean samplesLoad;
-    /** Connections and handshakes have a price: the sidecar keeps to a subset of each machine type. */
+    /**
+     * Whether connections and handshakes have a price, so that the sidecar uses a subset of each machine
+     * type.
+     */
     final boolean connectionSubset;
-    /** More sidecars than share an upstream, and no load reports. */
+    /**
+     * Whether upstream loads are unknown: no load reports, and more than {@link #SIDECARS_PER_UPSTREAM}
+     * sidecars.
+     */
     final boolean loadUnknown;
     /** Initial estimate of an upstream's cores. */
     final double defaultCores;
-    /** Index of the sidecar's own zone in the settings. */
+    /** Index of the sidecar's zone in the settings. */
     final int localZone;
 
     BalancerContext(Settings settings, RoutingConstraints constraints, PeerLoad peerLoad, long seed, Actions actions) {
--- a/src/main/java/loadbalancer/balancing/CapacityCheck.java
+++ b/src/main/java/loadbalancer/balancing/CapacityCheck.java
@@ -3,22 +3,23 @@
 import loadbalancer.balancing.Balancer.Idempotency;
 import loadbalancer.balancing.Balancer.Uncertainty;
 
-/** Whether an upstream has capacity for a request, and how often of late there was none. */
+/** Checks whether an upstream has capacity for a request, and tracks how often none was found recently. */
 final class CapacityCheck {
     /**
-     * Seconds in which requests may meet at a place that all saw free: the delay of gossip, and what a meeting
-     * costs.
+     * Time within which several sidecars may send to the same free capacity before gossip shows it as taken,
+     * seconds: the delay of gossip, and a margin for the cost of such collisions.
      */
-    private static final double GOSSIP_DELAY_SECONDS = 0.06;
-    /** An upstream that had no streams left is tried again after this, microseconds. */
+    private static final double COLLISION_WINDOW_SECONDS = 0.06;
+    /** Time after which an upstream that had no streams left is tried again, microseconds. */
     private static final long STREAM_CAPACITY_EXPIRY_MICROS = 500_000;
 
     private static final double SHORTAGE_GAIN = 0.1;
     /** Load below which an upstream counts as idle. */
     private static final double IDLE_LOAD = 0.5;
-    /** Tolerance of sampled loads, whole numbers that may be one old. */
+    /** Tolerance for sampled loads, which are whole numbers and may be outdated by one request. */
     private static final double SAMPLED_TOLERANCE = 0.5;
 
+    /** Tolerance for estimated loads. */
     private static final double ESTIMATED_TOLERANCE = 0.01;
 
     private final BalancerContext context;
@@ -26,8 +27,8 @@
     private final Estimators estimators;
     private final AttemptRules rules;
     private final OutlierDetector outliers;
-    /** Part of the own requests of late that found no capacity on arrival. */
-    private double shortage;
+    /** Moving average of the fraction of this sidecar's requests that found no capacity on arrival. */
+    private double shortageFraction;
 
     CapacityCheck(
             BalancerContext context,
@@ -43,25 +44,31 @@
     }
 
     /** Counts a request that has arrived, and whether it found capacity at once. */
-    void recordArrival(boolean found) {
-        shortage += SHORTAGE_GAIN * ((found ? 0 : 1) - shortage);
+    void recordArrival(boolean foundCapacity) {
+        shortageFraction += SHORTAGE_GAIN * ((foundCapacity ? 0 : 1) - shortageFraction);
     }
 
-    /** Whether the request should not scan all upstreams for capacity: all that scan find the same one. */
+    /**
+     * Returns whether the request should not scan all upstreams for capacity, because all requests that scan
+     * would find the same free upstream.
+     */
     boolean skipsScan(TrackedRequest request) {
-        return directory.hasPeerSubset() && request.contentionDraw < shortage;
+        return directory.hasPeerSubset() && request.contentionDraw < shortageFraction;
     }
 
-    /** Whether the upstream can take the request; with {@code freeCore} only where it would start at once. */
+    /**
+     * Returns whether the upstream has capacity for the request; with {@code freeCore} it must also have a
+     * free core, so that the request starts at once.
+     */
     boolean hasCapacity(long nowMicros, TrackedRequest request, TrackedUpstream upstream, boolean freeCore) {
-        if (outliers.isLeftOut(upstream, nowMicros)) {
+        if (outliers.isExcluded(upstream, nowMicros)) {
             return false;
         }
         if (ClassBackoff.isBackedOff(nowMicros, request, upstream, directory.ready())
                 || !rules.maySend(nowMicros, request, upstream)) {
             return false;
         }
-        if (upstream.endpoint.uncertainty() == Uncertainty.SERVICE && !mayTryUnknown(request, upstream)) {
+        if (upstream.endpoint.uncertainty() == Uncertainty.SERVICE && !mayTryUnknownService(request, upstream)) {
             return false;
         }
         if (request.arrival.streaming()) {
@@ -74,7 +81,7 @@
         if (freeCore) {
             return load < Math.max(1, Math.round(cores)) - 0.5;
         }
-        if (leavesToOthers(request)) {
+        if (yieldsToOthers(request)) {
             load++;
         }
         double tolerance = context.samplesLoad ? SAMPLED_TOLERANCE : ESTIMATED_TOLERANCE;
@@ -85,25 +92,31 @@
         return idle || endsInTime(nowMicros, request, upstream, load);
     }
 
-    /** Nobody knows what takes connections there: one request at a time, and only such as may be lost. */
-    private static boolean mayTryUnknown(TrackedRequest request, TrackedUpstream upstream) {
+    /**
+     * Returns whether a request may be sent to an address at which an unknown service accepts connections:
+     * one at a time, and only idempotent requests, which may be lost.
+     */
+    private static boolean mayTryUnknownService(TrackedRequest request, TrackedUpstream upstream) {
         return upstream.inFlight + upstream.openStreams == 0
                 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** Free capacity that many want is seen free by all at once: each leaves it to the others now and then. */
-    private boolean leavesToOthers(TrackedRequest request) {
+    /**
+     * Returns whether the request should leave one unit of capacity to other sidecars. Free capacity that is
+     * in demand is seen by all sidecars at once, so each of them yields it for some of its requests.
+     */
+    private boolean yieldsToOthers(TrackedRequest request) {
         return directory.hasPeerSubset()
                 && request.contentionDraw
-                        < GOSSIP_DELAY_SECONDS
-                                * shortage
+                        < COLLISION_WINDOW_SECONDS
+                                * shortageFraction
                                 * estimators.gossip().fleetRate()
                                 / directory.ready().size();
     }
 
     private boolean endsInTime(long nowMicros, TrackedRequest request, TrackedUpstream upstream, double load) {
-        double expectedMicros =
+        double expectedLatencyMicros =
                 estimators.serviceTimes().expectedLatencyMicros(upstream, request.workMicros, load, nowMicros);
-        return nowMicros + expectedMicros <= request.usefulUntilMicros;
+        return nowMicros + expectedLatencyMicros <= request.usefulUntilMicros;
     }
 }
--- a/src/main/java/loadbalancer/balancing/ClassBackoff.java
+++ b/src/main/java/loadbalancer/balancing/ClassBackoff.java
@@ -5,11 +5,11 @@
 import loadbalancer.balancing.Balancer.RequestClass;
 
 /**
- * Keeps a request class off an upstream that never answers it, though it answers other classes. Each attempt after a
- * backoff doubles the next one, up to a bound; one response ends it.
+ * Backs a request class off an upstream that does not respond to it but does to other classes. Each attempt
+ * after a backoff doubles the next backoff, up to a limit; one successful response ends it.
  */
 final class ClassBackoff {
-    /** Consecutive timeouts of one class after which it is kept off the upstream. */
+    /** Consecutive timeouts of a class after which it is backed off the upstream. */
     private static final int TIMEOUT_THRESHOLD = 3;
 
     private static final long BASE_BACKOFF_MICROS = 500_000;
@@ -17,7 +17,10 @@
 
     private ClassBackoff() {}
 
-    /** Whether the class's next attempt there is not due; not where it times out on most of the ready upstreams. */
+    /**
+     * Returns whether the request's class is currently backed off the upstream. Backoffs are ignored if they
+     * cover more than half of the ready upstreams.
+     */
     static boolean isBackedOff(
             long nowMicros, TrackedRequest request, TrackedUpstream upstream, List<TrackedUpstream> ready) {
         return isBackedOff(nowMicros, request.requestClass, upstream)
@@ -42,7 +45,7 @@
                 && nowMicros < timeouts.backoffUntilMicros;
     }
 
-    /** Each attempt keeps the others of its class away for longer. */
+    /** Starts the next backoff if the class has reached the timeout threshold on the upstream. */
     static void recordSend(long nowMicros, RequestClass requestClass, TrackedUpstream upstream) {
         ClassTimeouts timeouts = upstream.timeoutsByClass.get(requestClass.name());
         if (timeouts != null && timeouts.consecutiveTimeouts >= TIMEOUT_THRESHOLD) {
--- a/src/main/java/loadbalancer/balancing/ClassTimeouts.java
+++ b/src/main/java/loadbalancer/balancing/ClassTimeouts.java
@@ -1,11 +1,11 @@
 package loadbalancer.balancing;
 
-/** Timeouts of one request class on one upstream that still answers other classes. */
+/** Timeouts of one request class on one upstream. */
 final class ClassTimeouts {
     /** Timeouts since the class's last response from the upstream. */
     int consecutiveTimeouts;
-    /** Attempts made after a backoff; each doubles the next. */
+    /** Number of attempts sent since the timeout threshold was reached; each doubles the next backoff. */
     int backoffCount;
-    /** The class keeps off the upstream until then, microseconds. */
+    /** End of the current backoff, microseconds. */
     long backoffUntilMicros;
 }
--- a/src/main/java/loadbalancer/balancing/CongestionEstimator.java
+++ b/src/main/java/loadbalancer/balancing/CongestionEstimator.java
@@ -1,30 +1,33 @@
 package loadbalancer.balancing;
 
 /**
- * How crowded the upstreams are where nobody reports the load of each: decides which part of the requests is shed on
- * arrival.
+ * Estimates how congested the upstreams are as a whole, for fleets in which the load of a single upstream is
+ * not known, and decides which fraction of the requests is shed on arrival.
  */
 final class CongestionEstimator {
     private static final double MAX_CONGESTION = 2 * WorkEstimator.MAX_RATIO_TO_EXPECTED;
     private static final double GAIN = 0.1;
-    /** Requests are shed above this congestion. */
+    /** Congestion above which requests are shed. */
     private static final double SHED_THRESHOLD = 1.5;
-    /** Part of the requests shed at twice the threshold. */
+    /** Increase of the shed fraction per multiple of the threshold by which the congestion exceeds it. */
     private static final double SHED_SLOPE = 2;
 
     private static final double MAX_SHED_PROBABILITY = 0.95;
 
     private final BalancerContext context;
-    /** Latency as a multiple of the best one; with {@link #reportsOnly} reported load per core. */
+    /**
+     * Mean latency as a multiple of the best latency, or with {@link #reportsOnly} mean reported load per
+     * core.
+     */
     private double congestion = 1;
-    /** Only load reports tell of other sidecars' requests. */
+    /** Whether other sidecars' requests are only visible in load reports. */
     private boolean reportsOnly;
 
     CongestionEstimator(BalancerContext context) {
         this.context = context;
     }
 
-    /** Looks again at what tells of other sidecars' requests. */
+    /** Determines again whether other sidecars' requests are only visible in load reports. */
     void refreshSources() {
         reportsOnly = !context.loadUnknown
                 && !context.samplesLoad
@@ -37,7 +40,8 @@
     }
 
     /**
-     * @param latencyRatio a response's latency as a multiple of what an idle upstream of standard speed would take
+     * @param latencyRatio a response's latency as a multiple of what an idle upstream of standard speed would
+     *     take
      */
     void recordResponse(TrackedUpstream upstream, double latencyRatio) {
         if (!reportsOnly) {
@@ -45,7 +49,7 @@
         }
     }
 
-    /** @param load requests that an upstream has reported, without streams */
+    /** @param load number of requests that the upstream has reported, without streams */
     void recordReport(TrackedUpstream upstream, double load) {
         if (reportsOnly) {
             moveTowards(load / upstream.machineType.cores);
@@ -56,12 +60,14 @@
         congestion += GAIN * (Math.min(MAX_CONGESTION, observed) - congestion);
     }
 
-    /** Halves the distance to what a peer has measured. */
+    /** Moves the estimate halfway to a peer's estimate. */
     void mergeGossip(double peerCongestion) {
         congestion += (Math.min(MAX_CONGESTION, peerCongestion) - congestion) / 2;
     }
 
-    /** Whether to shed a request that arrives now; draws only where shedding is possible. */
+    /**
+     * Returns whether to shed a request that arrives now; only draws a random number if shedding is possible.
+     */
     boolean shouldShed() {
         return (context.loadUnknown || reportsOnly)
                 && context.random.nextDouble()
--- a/src/main/java/loadbalancer/balancing/ConnectionReuse.java
+++ b/src/main/java/loadbalancer/balancing/ConnectionReuse.java
@@ -3,99 +3,111 @@
 import loadbalancer.balancing.Balancer.Outcome;
 
 /**
- * Which idle connections may be used again. Something on the way may drop idle connections without a sign; a
- * failure on one that was idle for long then blames the connection, and connections idle for as long are closed
- * before use for a while.
+ * Decides which idle connections may be reused. Devices on the network path may drop idle connections
+ * silently. A failure on a connection that was idle for long is therefore attributed to the connection, and
+ * for a while connections that were idle that long are closed before use.
  */
 final class ConnectionReuse {
     private static final long NO_LIMIT_MICROS = Long.MAX_VALUE;
-    /** A connection idle for less is not suspected of having been dropped, microseconds. */
+    /** Idle time below which a connection is not suspected of having been dropped, microseconds. */
     private static final long MIN_LIMIT_MICROS = 200_000;
-    /** A limit not confirmed for this long is raised, and no longer sent to peers; microseconds. */
+    /**
+     * Time without confirmation after which the limit is raised and not sent to peers any more, microseconds.
+     */
     private static final long LIMIT_EXPIRY_MICROS = 5_000_000;
-    /** Age up to which a success on an idle connection counts, microseconds. */
+    /** Time for which a success on an idle connection is taken into account, microseconds. */
     private static final long SUCCESS_EXPIRY_MICROS = 3_000_000;
 
     private final BalancerContext context;
-    /** Connections idle for this long are taken for dropped, microseconds. */
-    private long limitMicros = NO_LIMIT_MICROS;
+    /** Idle time from which on connections are assumed to be dropped, microseconds. */
+    private long idleLimitMicros = NO_LIMIT_MICROS;
 
-    private long limitObservedMicros;
-    /** Longest idle time after which a connection has worked of late, microseconds. */
-    private long longestKeptMicros;
+    private long idleLimitObservedMicros;
+    /** Longest idle time after which a connection has recently worked, microseconds. */
+    private long longestWorkingIdleMicros;
 
-    private long keptObservedMicros;
-    /** Time of the last drop seen by an own failure; only these are sent to peers. */
+    private long workingIdleObservedMicros;
+    /** Time of the last drop that this sidecar has observed itself; only such drops are sent to peers. */
     private long localDropMicros = Long.MIN_VALUE / 2;
 
     ConnectionReuse(BalancerContext context) {
         this.context = context;
     }
 
-    /** Closes idle connections to an upstream that is draining or removed (fifth rule). */
+    /**
+     * Closes idle connections to a draining or removed upstream if {@link Balancer.Rules#closeOnDrainMicros}
+     * requires it.
+     */
     void closeIfDraining(TrackedUpstream upstream) {
         if (context.settings.rules().closeOnDrainMicros() > 0 && !upstream.ready && upstream.lastUsedMicros > 0) {
             context.actions.closeIdleConnections(upstream.id);
         }
     }
 
-    /** Notes how long the attempt's connection was idle, and closes it first where that is too long. */
+    /**
+     * Records how long the attempt's connection was idle, and closes idle connections first if that is too
+     * long.
+     */
     void prepare(long nowMicros, TrackedAttempt attempt) {
         TrackedUpstream upstream = attempt.upstream;
         long unusedMicros = nowMicros - upstream.lastUsedMicros;
-        boolean freshOrBusy = attempt.request.arrival.streaming()
+        boolean newOrInUse = attempt.request.arrival.streaming()
                 || upstream.inFlight > 1
                 || unusedMicros > context.settings.limits().connectionIdleMicros();
-        attempt.idleMicros = freshOrBusy ? 0 : unusedMicros;
-        if (attempt.idleMicros >= limitMicros) {
+        attempt.idleMicros = newOrInUse ? 0 : unusedMicros;
+        if (attempt.idleMicros >= idleLimitMicros) {
             context.actions.closeIdleConnections(upstream.id);
             attempt.idleMicros = 0;
         }
         upstream.lastUsedMicros = nowMicros;
     }
 
-    /** Learns from an outcome; true where the connection is to blame for it, and not the upstream. */
-    boolean isIdleDrop(long nowMicros, TrackedAttempt attempt, Outcome outcome) {
-        if (limitMicros < NO_LIMIT_MICROS && nowMicros - limitObservedMicros > LIMIT_EXPIRY_MICROS) {
-            limitObservedMicros = nowMicros;
-            limitMicros =
-                    limitMicros > context.settings.limits().connectionIdleMicros() ? NO_LIMIT_MICROS : limitMicros * 2;
+    /** Records an outcome; returns whether it is attributed to the connection rather than the upstream. */
+    boolean recordOutcome(long nowMicros, TrackedAttempt attempt, Outcome outcome) {
+        if (idleLimitMicros < NO_LIMIT_MICROS && nowMicros - idleLimitObservedMicros > LIMIT_EXPIRY_MICROS) {
+            idleLimitObservedMicros = nowMicros;
+            idleLimitMicros = idleLimitMicros > context.settings.limits().connectionIdleMicros()
+                    ? NO_LIMIT_MICROS
+                    : idleLimitMicros * 2;
         }
-        boolean successExpired = nowMicros - keptObservedMicros > SUCCESS_EXPIRY_MICROS;
-        if (outcome == Outcome.OK && (attempt.idleMicros >= longestKeptMicros || successExpired)) {
-            longestKeptMicros = attempt.idleMicros;
-            keptObservedMicros = nowMicros;
+        boolean successExpired = nowMicros - workingIdleObservedMicros > SUCCESS_EXPIRY_MICROS;
+        if (outcome == Outcome.OK && (attempt.idleMicros >= longestWorkingIdleMicros || successExpired)) {
+            longestWorkingIdleMicros = attempt.idleMicros;
+            workingIdleObservedMicros = nowMicros;
         }
-        // A timeout alone may come from overload; not where no connection idle for as long has worked of late.
-        boolean kept = nowMicros - keptObservedMicros < SUCCESS_EXPIRY_MICROS
-                && attempt.idleMicros * 3 / 4 <= longestKeptMicros;
-        boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !kept;
+        // A timeout may also be due to overload. It is suspect only if no connection that was idle for about
+        // as long has recently worked.
+        boolean idleTimeWorked = nowMicros - workingIdleObservedMicros < SUCCESS_EXPIRY_MICROS
+                && attempt.idleMicros * 3 / 4 <= longestWorkingIdleMicros;
+        boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !idleTimeWorked;
         if (!context.connectionSubset || !suspect || attempt.idleMicros < MIN_LIMIT_MICROS) {
             return false;
         }
         localDropMicros = nowMicros;
-        lowerLimit(nowMicros, attempt.idleMicros * 3 / 4);
+        lowerIdleLimit(nowMicros, attempt.idleMicros * 3 / 4);
         return true;
     }
 
-    /** Takes connections idle for this long for dropped from now on, microseconds. */
-    void lowerLimit(long nowMicros, long idleMicros) {
-        limitMicros = Math.min(limitMicros, Math.max(MIN_LIMIT_MICROS, idleMicros));
-        limitObservedMicros = nowMicros;
+    /** Lowers the limit to this idle time, microseconds. */
+    void lowerIdleLimit(long nowMicros, long idleMicros) {
+        idleLimitMicros = Math.min(idleLimitMicros, Math.max(MIN_LIMIT_MICROS, idleMicros));
+        idleLimitObservedMicros = nowMicros;
     }
 
-    /** Whether connections have a limit at present. */
-    boolean isLimited() {
-        return limitMicros < NO_LIMIT_MICROS;
+    /** Returns whether idle connections are currently limited. */
+    boolean hasIdleLimit() {
+        return idleLimitMicros < NO_LIMIT_MICROS;
     }
 
-    /** Idle time from which connections are taken for dropped, microseconds. */
-    long limitMicros() {
-        return limitMicros;
+    /** Returns the idle time from which on connections are assumed to be dropped, microseconds. */
+    long idleLimitMicros() {
+        return idleLimitMicros;
     }
 
-    /** The limit to tell peers, microseconds; 0 where no own failure has confirmed it of late. */
-    long gossipedLimitMicros(long nowMicros) {
-        return nowMicros - localDropMicros < LIMIT_EXPIRY_MICROS ? limitMicros : 0;
+    /**
+     * Returns the limit to send to peers, microseconds; 0 if this sidecar has not observed a drop recently.
+     */
+    long gossipedIdleLimitMicros(long nowMicros) {
+        return nowMicros - localDropMicros < LIMIT_EXPIRY_MICROS ? idleLimitMicros : 0;
     }
 }
--- a/src/main/java/loadbalancer/balancing/DiscoveryPolling.java
+++ b/src/main/java/loadbalancer/balancing/DiscoveryPolling.java
@@ -2,13 +2,13 @@
 
 import loadbalancer.balancing.Balancer.EndpointListKind;
 
-/** Polls discovery for a watch until one is established, with a jittered backoff between failures. */
+/** Polls discovery until a watch is established, with a jittered exponential backoff after failures. */
 final class DiscoveryPolling {
-    /** Timer mark of the next poll, part of the simulator's wire. */
+    /** Name of the timer for the next poll, part of the simulator's wire protocol. */
     static final String TIMER = "ask";
-    /** First mean backoff, microseconds. */
+    /** Initial mean backoff, microseconds. */
     private static final long MIN_BACKOFF_MICROS = 500_000;
-    /** Largest mean backoff: a change is known 6 s after discovery is reachable again; microseconds. */
+    /** Largest mean backoff, microseconds; a change is then known 6 s after discovery is reachable again. */
     private static final long MAX_BACKOFF_MICROS = 2_000_000;
 
     private final BalancerContext context;
@@ -21,7 +21,7 @@
         this.context = context;
     }
 
-    /** Polls unless a watch is established or a poll is under way. */
+    /** Polls unless a watch is established or a poll is in progress. */
     void poll(long nowMicros) {
         if (!polling && !watching) {
             polling = true;
@@ -30,25 +30,25 @@
         }
     }
 
-    /** Notes the answer to a poll, and starts the backoff after a failure. */
-    void recordAnswer(long nowMicros, EndpointListKind listKind) {
+    /** Records the response to a poll, and starts the backoff timer after a failure. */
+    void recordResponse(long nowMicros, EndpointListKind listKind) {
         if (!context.settings.pollsDiscovery() || listKind == EndpointListKind.CACHED) {
             return;
         }
-        // The poll's own time counts towards the backoff.
-        long spentMicros = polling ? nowMicros - pollStartedMicros : 0;
+        // The duration of the poll counts towards the backoff.
+        long pollDurationMicros = polling ? nowMicros - pollStartedMicros : 0;
         polling = false;
         watching = listKind != EndpointListKind.FAILED;
         if (watching) {
             backoffMicros = MIN_BACKOFF_MICROS;
             return;
         }
-        // Jittered, so that sidecars whose polls failed together poll apart.
-        long pauseMicros = backoffMicros / 2 + context.random.nextLong(backoffMicros);
-        long leastMicros = Math.min(pauseMicros, MIN_BACKOFF_MICROS) / 2;
-        context.actions.startTimer(TIMER, Math.max(pauseMicros - spentMicros, leastMicros));
+        // The jitter spreads the polls of sidecars whose polls failed at the same time.
+        long jitteredMicros = backoffMicros / 2 + context.random.nextLong(backoffMicros);
+        long minDelayMicros = Math.min(jitteredMicros, MIN_BACKOFF_MICROS) / 2;
+        context.actions.startTimer(TIMER, Math.max(jitteredMicros - pollDurationMicros, minDelayMicros));
         long halfPollMicros = context.settings.rules().discoveryPollMicros() / 2;
-        long mostMicros = Math.max(MIN_BACKOFF_MICROS, Math.min(MAX_BACKOFF_MICROS, halfPollMicros));
-        backoffMicros = Math.min(backoffMicros * 2, mostMicros);
+        long maxBackoffMicros = Math.max(MIN_BACKOFF_MICROS, Math.min(MAX_BACKOFF_MICROS, halfPollMicros));
+        backoffMicros = Math.min(backoffMicros * 2, maxBackoffMicros);
     }
 }
--- a/src/main/java/loadbalancer/balancing/Estimators.java
+++ b/src/main/java/loadbalancer/balancing/Estimators.java
@@ -1,6 +1,6 @@
 package loadbalancer.balancing;
 
-/** The estimators that decisions go by. */
+/** The estimators on which decisions are based. */
 record Estimators(
         WorkEstimator work,
         ArrivalRateEstimator arrivals,
--- a/src/main/java/loadbalancer/balancing/FleetGossip.java
+++ b/src/main/java/loadbalancer/balancing/FleetGossip.java
@@ -4,19 +4,23 @@
 import java.util.Map;
 
 /**
- * Gossip averaging over the fleet: each sidecar tells one random peer at a time its mean rates, speeds, congestion
- * and idle limit. A lost or false message moves little, and later ones make up for it.
+ * Averages estimates over the fleet by gossip: each sidecar periodically sends its mean request rates,
+ * service-time factors, congestion and idle limit to one random peer. A lost or wrong message changes little,
+ * and later messages correct it.
  */
 final class FleetGossip {
-    /** Timer mark of the next message, part of the simulator's wire. */
+    /** Name of the timer for the next message, part of the simulator's wire protocol. */
     static final String TIMER = "tell";
-    /** Time between own messages, microseconds. */
-    static final long INTERVAL_MICROS = 500_000;
-    /** So many responses tell a machine type's speed well; more count no more. */
-    static final int MAX_RESPONSE_EVIDENCE = 40;
-    /** The mean rates lean to the own rate by at least this at each message sent. */
-    private static final double MIN_GAIN = 0.03;
-    /** Time for which the rates of other zones hold after a message, microseconds. */
+    /** Interval between messages sent by this sidecar, microseconds. */
+    static final long SEND_INTERVAL_MICROS = 500_000;
+    /**
+     * Largest number of responses that count as evidence of a machine type's speed: more make it hardly
+     * surer.
+     */
+    static final int MAX_COUNTED_RESPONSES = 40;
+    /** Smallest gain with which the mean rates move towards this sidecar's rate at each message sent. */
+    private static final double MIN_OWN_RATE_GAIN = 0.03;
+    /** Time for which the rates of other zones are valid after a message, microseconds. */
     private static final long EXPIRY_MICROS = 5_000_000;
 
     private final BalancerContext context;
@@ -24,11 +28,11 @@
     private final ArrivalRateEstimator arrivals;
     private final CongestionEstimator congestion;
     private final ConnectionReuse connections;
-    /** Mean requests a second of the fleet's sidecars, the part of each zone. */
+    /** Mean requests per second over the fleet's sidecars, split by the zone of the sidecar. */
     private final double[] zoneRates;
 
     private long receivedMicros = Long.MIN_VALUE / 2;
-    private int rounds;
+    private int sentCount;
 
     FleetGossip(
             BalancerContext context,
@@ -44,14 +48,19 @@
         zoneRates = new double[context.settings.zones().size()];
     }
 
-    /** Starts the timer of the first message at a random time, where gossip is allowed and there are peers. */
+    /**
+     * Starts the timer of the first message with a random delay, if gossip is allowed and there are peers.
+     */
     void start() {
         if (context.settings.limits().gossipAllowed() && context.settings.sidecarCount() > 1) {
-            context.actions.startTimer(TIMER, INTERVAL_MICROS / 2 + context.random.nextLong(INTERVAL_MICROS));
+            context.actions.startTimer(TIMER, SEND_INTERVAL_MICROS / 2 + context.random.nextLong(SEND_INTERVAL_MICROS));
         }
     }
 
-    /** Requests a second of the whole fleet: the mean of the sidecars' rates, or the own one, times their number. */
+    /**
+     * Returns the estimated requests per second of the whole fleet: the mean rate of the sidecars, or this
+     * sidecar's rate while no mean is known, times their number.
+     */
     double fleetRate() {
         double mean = Arrays.stream(zoneRates).sum();
         return context.settings.sidecarCount() * (mean > 0 ? mean : arrivals.requestsPerSecond());
@@ -61,25 +70,25 @@
         return zoneRates.length;
     }
 
-    /** A zone's part of the mean rate, requests a second. */
+    /** Returns a zone's part of the mean rate, requests per second. */
     double zoneRate(int zone) {
         return zoneRates[zone];
     }
 
-    /** Sum over the zones, requests a second; 0 where no peer has sent rates lately. */
-    double freshTotalRate(long nowMicros) {
+    /** Returns the mean rate over all zones, requests per second; 0 if no peer has sent rates recently. */
+    double freshMeanRate(long nowMicros) {
         return nowMicros - receivedMicros < EXPIRY_MICROS
                 ? Arrays.stream(zoneRates).sum()
                 : 0;
     }
 
-    /** Tells one random peer, and starts the timer of the next message. */
+    /** Sends a message to one random peer and starts the timer of the next message. */
     void send(long nowMicros) {
         arrivals.measure(nowMicros);
-        rounds++;
+        sentCount++;
         for (int zone = 0; zone < zoneRates.length; zone++) {
-            double own = zone == context.localZone ? arrivals.requestsPerSecond() : 0;
-            zoneRates[zone] += (own - zoneRates[zone]) * Math.max(MIN_GAIN, 1.0 / rounds);
+            double ownRate = zone == context.localZone ? arrivals.requestsPerSecond() : 0;
+            zoneRates[zone] += (ownRate - zoneRates[zone]) * Math.max(MIN_OWN_RATE_GAIN, 1.0 / sentCount);
         }
         RateGossip message = emptyMessage();
         System.arraycopy(zoneRates, 0, message.zoneRates, 0, zoneRates.length);
@@ -88,24 +97,26 @@
             MachineType machineType =
                     machineTypes.get(context.settings.machineTypes().get(i));
             message.serviceTimeFactors[i] = machineType.serviceTimeFactor;
-            message.responseCounts[i] = Math.min(MAX_RESPONSE_EVIDENCE, machineType.responseCount);
+            message.responseCounts[i] = Math.min(MAX_COUNTED_RESPONSES, machineType.responseCount);
         }
         message.congestion = congestion.congestion();
-        message.idleLimitMicros = connections.gossipedLimitMicros(nowMicros);
+        message.idleLimitMicros = connections.gossipedIdleLimitMicros(nowMicros);
         int sidecarCount = context.settings.sidecarCount();
         int peer = (context.settings.sidecarIndex() + 1 + context.random.nextInt(sidecarCount - 1)) % sidecarCount;
         context.actions.gossip(peer, message.encode());
-        context.actions.startTimer(TIMER, INTERVAL_MICROS);
+        context.actions.startTimer(TIMER, SEND_INTERVAL_MICROS);
     }
 
     /**
-     * Moves half of the way to what a peer tells; speeds weigh by the responses behind them. Bad messages are
-     * ignored.
+     * Moves rates and congestion halfway to the peer's values, and service-time factors by a part of that
+     * which depends on the number of responses on both sides. Ignores malformed messages and messages from
+     * unknown peers.
      */
     void receive(long nowMicros, int peer, byte[] encoded) {
-        boolean known = peer >= 0 && peer < context.settings.sidecarCount() && peer != context.settings.sidecarIndex();
+        boolean knownPeer =
+                peer >= 0 && peer < context.settings.sidecarCount() && peer != context.settings.sidecarIndex();
         RateGossip message = emptyMessage();
-        if (!known || !message.decode(encoded)) {
+        if (!knownPeer || !message.decode(encoded)) {
             return;
         }
         receivedMicros = nowMicros;
@@ -119,19 +130,19 @@
         }
         congestion.mergeGossip(message.congestion);
         if (message.idleLimitMicros > 0) {
-            connections.lowerLimit(nowMicros, message.idleLimitMicros);
+            connections.lowerIdleLimit(nowMicros, message.idleLimitMicros);
         }
     }
 
     private static void mergeMachineType(MachineType machineType, double serviceTimeFactor, int responseCount) {
-        int responses = Math.min(MAX_RESPONSE_EVIDENCE, responseCount);
+        int responses = Math.min(MAX_COUNTED_RESPONSES, responseCount);
         if (serviceTimeFactor <= 0 || responses == 0) {
             return;
         }
         machineType.serviceTimeFactor += (serviceTimeFactor - machineType.serviceTimeFactor)
                 / 2
                 * responses
-                / (responses + Math.min(MAX_RESPONSE_EVIDENCE, machineType.responseCount));
+                / (responses + Math.min(MAX_COUNTED_RESPONSES, machineType.responseCount));
         machineType.responseCount = Math.max(machineType.responseCount, responses / 2);
     }
 
--- a/src/main/java/loadbalancer/balancing/HaloBalancer.java
+++ b/src/main/java/loadbalancer/balancing/HaloBalancer.java
@@ -3,11 +3,13 @@
 import java.util.List;
 
 /**
- * Power-of-D load balancing with D = 2 after the HALO paper: Eq. (4) splits the fleet's rate over the machine types
- * of upstreams, each request draws two upstreams with probability p_i / k_i and goes to the one with fewer requests
- * in flight. Upstreams that deviate from their machine type are groups of their own, full ones are left out, and
- * requests without capacity wait in a queue. Dispatches the events to the parts that decide; all of them run on one
- * thread and know the time from the event.
+ * Power-of-D load balancing with D = 2 as in the HALO paper: Eq. (4) splits the fleet's request rate over the
+ * machine types of the upstreams; each request draws two upstreams with probability p_i / k_i and is sent to
+ * the one with fewer requests in flight. An upstream that deviates from its machine type is a group of its
+ * own, full upstreams are skipped, and requests that find no capacity wait in a queue.
+ *
+ * <p>This class only dispatches events to the components that decide. All of them run on one thread and take
+ * the time from the event.
  */
 public final class HaloBalancer implements Balancer {
     private final BalancerContext context;
@@ -23,9 +25,9 @@
     private final DiscoveryPolling polling;
 
     /**
-     * @param seed      of all random draws: the same events give the same actions
-     * @param nowMicros start, on the clock of all events
-     * @param actions   carry out what is decided, possibly before this constructor returns
+     * @param seed      seed of all random draws: with the same seed the same events lead to the same actions
+     * @param nowMicros start time, on the clock that all events use
+     * @param actions   receives the decisions, possibly before this constructor returns
      */
     public HaloBalancer(
             Settings settings,
@@ -37,7 +39,7 @@
         context = new BalancerContext(settings, constraints, peerLoad, seed, actions);
         connections = new ConnectionReuse(context);
         directory = new UpstreamDirectory(context, connections);
-        estimators = estimators(nowMicros);
+        estimators = createEstimators(nowMicros);
         rules = new AttemptRules(context, estimators.slowStart());
         SubsetSelection subsets = new SubsetSelection(context, directory, estimators, connections);
         split = new RequestSplit(context, directory, estimators, outliers, subsets, nowMicros);
@@ -57,7 +59,7 @@
         }
     }
 
-    private Estimators estimators(long nowMicros) {
+    private Estimators createEstimators(long nowMicros) {
         WorkEstimator work = new WorkEstimator(context.settings);
         ArrivalRateEstimator arrivals = new ArrivalRateEstimator(nowMicros);
         CongestionEstimator congestion = new CongestionEstimator(context);
@@ -84,12 +86,12 @@
     public void onSettings(long nowMicros, Settings settings) {
         context.settings = settings;
         estimators.work().addClasses(settings);
-        dispatcher.useClasses();
+        dispatcher.reloadClasses();
     }
 
     @Override
     public void onEndpointList(long nowMicros, EndpointListKind listKind, List<Upstream> entries) {
-        polling.recordAnswer(nowMicros, listKind);
+        polling.recordResponse(nowMicros, listKind);
         if (listKind == EndpointListKind.FAILED) {
             return;
         }
@@ -111,7 +113,7 @@
             String upstreamId,
             Outcome outcome,
             long latencyMicros,
-            boolean done,
+            boolean requestAnswered,
             LoadReport report) {
         LoadEstimator loads = estimators.loads();
         loads.applyReport(directory.find(upstreamId), report, nowMicros);
@@ -128,7 +130,7 @@
         connections.closeIfDraining(attempt.upstream);
         directory.forgetIfDone(attempt.upstream);
         feedback.apply(nowMicros, attempt, outcome, latencyMicros);
-        dispatcher.attemptEnded(nowMicros, request, outcome, done);
+        dispatcher.onAttemptEnd(nowMicros, request, outcome, requestAnswered);
         dispatcher.dispatchQueue(nowMicros, false);
         loads.clearLastReporter();
     }
@@ -164,7 +166,7 @@
         if (outcome != Outcome.OK) {
             outliers.recordHealthCheck(nowMicros, upstream, outcome);
         } else if (report == null) {
-            // It answers without a load report: rather busy than idle.
+            // The upstream responds but reports no load: assume that it is busy rather than idle.
             loads.markFull(upstream, nowMicros);
         }
         loads.applyReport(upstream, report, nowMicros);
@@ -178,20 +180,20 @@
     }
 
     @Override
-    public void onTimer(long nowMicros, String mark) {
-        switch (mark) {
+    public void onTimer(long nowMicros, String timerName) {
+        switch (timerName) {
             case PendingQueue.TIMER -> dispatcher.sweep(nowMicros);
             case FleetGossip.TIMER -> estimators.gossip().send(nowMicros);
             case DiscoveryPolling.TIMER -> polling.poll(nowMicros);
-            default -> onRequestTimer(nowMicros, mark);
+            default -> onRequestTimer(nowMicros, timerName);
         }
     }
 
-    private void onRequestTimer(long nowMicros, String mark) {
-        TrackedRequest request = dispatcher.find(mark.substring(mark.indexOf(':') + 1));
-        if (mark.startsWith(Hedging.OVERDUE_TIMER)) {
+    private void onRequestTimer(long nowMicros, String timerName) {
+        TrackedRequest request = dispatcher.find(timerName.substring(timerName.indexOf(':') + 1));
+        if (timerName.startsWith(Hedging.OVERDUE_TIMER)) {
             hedging.checkOverdue(nowMicros, request);
-        } else if (mark.startsWith(Hedging.CHECK_TIMER)) {
+        } else if (timerName.startsWith(Hedging.CHECK_TIMER)) {
             TrackedUpstream upstream = hedging.pickAfterCheck(nowMicros, request);
             if (upstream != null) {
                 dispatcher.send(nowMicros, request, upstream);
--- a/src/main/java/loadbalancer/balancing/HaloSplit.java
+++ b/src/main/java/loadbalancer/balancing/HaloSplit.java
@@ -2,19 +2,22 @@
 
 /** The optimal load split of the HALO paper: Eq. (4), Lemma 2. */
 final class HaloSplit {
-    /** Part of the capacity that stands for a rate of 0, for which Eq. (4) has only a limit. */
-    private static final double MIN_LOAD = 1e-6;
+    /**
+     * Smallest rate to solve for, as a fraction of the capacity: for a rate of 0 Eq. (4) only has a limit.
+     */
+    private static final double MIN_UTILIZATION = 1e-6;
 
     private HaloSplit() {}
 
     /**
-     * The probabilities p_i of Eq. (4) for n groups of equal upstreams. Groups with a negative probability are
-     * dropped and the rest is solved again. At a rate past the capacity the split stays proportional (Corollary 3).
+     * Returns the probabilities p_i of Eq. (4) for n groups of equal upstreams. Groups with a negative
+     * probability are dropped and the others are solved again. At rates above the capacity the split remains
+     * proportional to it (Corollary 3).
      *
      * @param groupSizes   k_i, upstreams in each group
-     * @param serviceRates mu_i, requests a second that one upstream of the group serves
-     * @param arrivalRate  lambda, requests a second to all groups
-     * @return probabilities in [0, 1] that sum to 1, or all 0 where no group has capacity
+     * @param serviceRates mu_i, requests per second that one upstream of the group can serve
+     * @param arrivalRate  lambda, requests per second to all groups
+     * @return probabilities in [0, 1] that sum to 1, or all 0 if no group has capacity
      */
     static double[] solve(double[] groupSizes, double[] serviceRates, double arrivalRate) {
         int groupCount = groupSizes.length;
@@ -25,7 +28,7 @@
             active[i] = groupSizes[i] > 0 && serviceRates[i] > 0;
             capacity += active[i] ? groupSizes[i] * serviceRates[i] : 0;
         }
-        double rate = Math.max(capacity * MIN_LOAD, Math.min(arrivalRate, capacity));
+        double rate = Math.max(capacity * MIN_UTILIZATION, Math.min(arrivalRate, capacity));
         for (int round = 0; round < groupCount; round++) {
             if (!solveActive(groupSizes, serviceRates, rate, active, probabilities)) {
                 break;
@@ -37,7 +40,9 @@
         return probabilities;
     }
 
-    /** Eq. (4) over the active groups; true where a group was dropped for its negative probability. */
+    /**
+     * Solves Eq. (4) for the active groups; returns whether a group was dropped for its negative probability.
+     */
     private static boolean solveActive(
             double[] groupSizes, double[] serviceRates, double rate, boolean[] active, double[] probabilities) {
         double rootSum = 0;
--- a/src/main/java/loadbalancer/balancing/HealthChecks.java
+++ b/src/main/java/loadbalancer/balancing/HealthChecks.java
@@ -1,8 +1,8 @@
 package loadbalancer.balancing;
 
-/** Health checks, which also bring load reports: sends them, and tells which upstreams left one unanswered. */
+/** Sends health checks, which also bring load reports, and tracks which upstreams left one unanswered. */
 final class HealthChecks {
-    /** One that is not answered for this long may be sent again, microseconds. */
+    /** Time after which an unanswered health check may be sent again, microseconds. */
     private static final long TIMEOUT_MICROS = 100_000;
 
     private final BalancerContext context;
@@ -11,7 +11,7 @@
         this.context = context;
     }
 
-    /** Sends a health check unless one is under way. */
+    /** Sends a health check unless one is in flight. */
     void check(long nowMicros, TrackedUpstream upstream) {
         if (nowMicros - upstream.healthCheckSentMicros > TIMEOUT_MICROS) {
             upstream.healthCheckSentMicros = nowMicros;
@@ -19,7 +19,10 @@
         }
     }
 
-    /** Whether it left a health check for an overdue attempt unanswered; after a while it gets requests again. */
+    /**
+     * Returns whether the upstream left a health check for an overdue attempt unanswered; expires after the
+     * timeout.
+     */
     static boolean isUnresponsive(TrackedUpstream upstream, long nowMicros) {
         return upstream.unresponsiveSinceMicros > upstream.loadReportedMicros
                 && nowMicros - upstream.unresponsiveSinceMicros < TIMEOUT_MICROS;
--- a/src/main/java/loadbalancer/balancing/Hedging.java
+++ b/src/main/java/loadbalancer/balancing/Hedging.java
@@ -1,24 +1,30 @@
 package loadbalancer.balancing;
 
 /**
- * Hedged requests: where an attempt is overdue its upstream gets a health check, and unless that shows it at work
- * on the request, the request is sent to another upstream as well, within a budget.
+ * Decides about hedged requests. The upstream of an overdue attempt gets a health check. Unless the check
+ * shows that the upstream is working on the request, the request is also sent to another upstream, within a
+ * budget.
  */
 final class Hedging {
-    /** Prefix of the timer mark at which an attempt is overdue, part of the simulator's wire. */
+    /**
+     * Name prefix of the timer that fires when an attempt is overdue, part of the simulator's wire protocol.
+     */
     static final String OVERDUE_TIMER = "late:";
-    /** Prefix of the timer mark at which the health check is judged, part of the simulator's wire. */
+    /**
+     * Name prefix of the timer that ends the wait for the health check, part of the simulator's wire
+     * protocol.
+     */
     static final String CHECK_TIMER = "mute:";
-    /** Hedged requests for each request that arrives. */
+    /** Hedged requests that each arriving request adds to the budget. */
     private static final double BUDGET_RATIO = 0.05;
-    /** Most hedged requests saved up. */
+    /** Largest number of hedged requests in the budget. */
     private static final double MAX_BUDGET = 10;
 
     private final BalancerContext context;
     private final RequestSplit split;
     private final UpstreamPicker picker;
     private final HealthChecks healthChecks;
-    /** Allowed, and health checks tell an upstream that stands still from one at work. */
+    /** Hedging is allowed, and health checks can tell a stalled upstream from a working one. */
     private final boolean enabled;
 
     private double budget;
@@ -36,17 +42,17 @@
         budget = Math.min(MAX_BUDGET, budget + BUDGET_RATIO);
     }
 
-    /** Starts the timer after which the attempt is overdue, where it may be hedged. */
-    void watch(long nowMicros, TrackedAttempt attempt) {
+    /** Starts the timer that fires when the attempt is overdue, if the attempt may be hedged. */
+    void startOverdueTimer(long nowMicros, TrackedAttempt attempt) {
         boolean hedgeable = enabled && !attempt.request.arrival.streaming();
         if (hedgeable && AttemptRules.isRetrySafe(attempt, attempt.upstream, nowMicros)) {
-            startTimer(OVERDUE_TIMER, attempt.request, LoadEstimator.OVERDUE_FACTOR * attempt.expectedMicros);
+            startTimer(OVERDUE_TIMER, attempt.request, LoadEstimator.OVERDUE_FACTOR * attempt.expectedLatencyMicros);
         }
     }
 
     private void startTimer(String prefix, TrackedRequest request, double delayMicros) {
-        long atLeastMicros = Math.max(PendingQueue.SWEEP_MICROS, (long) delayMicros);
-        context.actions.startTimer(prefix + request.arrival.id(), atLeastMicros);
+        long boundedDelayMicros = Math.max(PendingQueue.SWEEP_MICROS, (long) delayMicros);
+        context.actions.startTimer(prefix + request.arrival.id(), boundedDelayMicros);
     }
 
     /** Sends a health check to the upstream of an overdue attempt; {@code request} may be null. */
@@ -60,20 +66,24 @@
         startTimer(CHECK_TIMER, request, PendingQueue.SWEEP_MICROS);
     }
 
-    /** Judges the health check: the upstream to hedge to, or null for none; {@code request} may be null. */
+    /**
+     * Evaluates the health check of an overdue attempt and returns the upstream for a hedged request, or null
+     * if none is to be sent; {@code request} may be null.
+     */
     TrackedUpstream pickAfterCheck(long nowMicros, TrackedRequest request) {
         TrackedAttempt attempt = hedgeableAttempt(nowMicros, request);
         if (attempt == null) {
             return null;
         }
         boolean answered = attempt.upstream.loadReportedMicros >= request.hedgeCheckMicros;
-        // An upstream that answers and does not hold it: the connection fell silent, or the response was lost.
+        // If the upstream responds but does not hold the request, the connection is dead or the response was
+        // lost.
         attempt.lostOnConnection = answered && attempt.upstream.lostAttempts > 0;
         if (!answered) {
             attempt.upstream.unresponsiveSinceMicros = nowMicros;
         }
         if (answered && !attempt.lostOnConnection) {
-            startTimer(OVERDUE_TIMER, request, attempt.expectedMicros / 2);
+            startTimer(OVERDUE_TIMER, request, attempt.expectedLatencyMicros / 2);
             return null;
         }
         split.refresh(nowMicros);
@@ -84,7 +94,7 @@
         return upstream;
     }
 
-    /** The only attempt in flight of a request that a second one may still save; null for none. */
+    /** Returns the request's only attempt in flight if a second one could still finish in time, else null. */
     private TrackedAttempt hedgeableAttempt(long nowMicros, TrackedRequest request) {
         if (request == null || request.finished || request.queued || request.responseStarted) {
             return null;
--- a/src/main/java/loadbalancer/balancing/LoadEstimator.java
+++ b/src/main/java/loadbalancer/balancing/LoadEstimator.java
@@ -2,13 +2,17 @@
 
 import loadbalancer.balancing.Balancer.LoadReport;
 
-/** How many requests each upstream holds: own ones, and other sidecars' by load reports and gossip. */
+/**
+ * Estimates how many requests each upstream holds: this sidecar's, and others' from load reports and gossip.
+ */
 final class LoadEstimator {
-    /** An attempt is overdue after so many times its expected latency. */
+    /** Multiple of its expected latency after which an attempt is overdue. */
     static final double OVERDUE_FACTOR = 1.5;
-    /** Square-root staffing: an upstream holds at most its cores and this times their root. */
+    /** Square-root staffing: an upstream should hold at most its cores plus this times their square root. */
     private static final double STAFFING_FACTOR = 1;
-    /** Expected latencies after which the oldest attempt counts as further load. */
+    /**
+     * Multiple of its expected latency after which the oldest attempt in flight counts as additional load.
+     */
     private static final double STALL_FACTOR = 2;
 
     private static final double CORES_GAIN = 0.3;
@@ -16,7 +20,7 @@
     private final BalancerContext context;
     private final WorkEstimator work;
     private final CongestionEstimator congestion;
-    /** Upstream whose load report the current event has brought; null for none. */
+    /** Upstream whose load report came with the current event; null if there is none. */
     private TrackedUpstream lastReporter;
     /** Time of the last load report of any upstream, microseconds. */
     private long lastReportMicros = Long.MIN_VALUE / 2;
@@ -28,9 +32,10 @@
     }
 
     /**
-     * Own requests in flight, and other sidecars' by the upstream's last load report less what it has served since.
+     * Returns this sidecar's requests in flight plus those of other sidecars, taken from the upstream's last
+     * load report less the requests that it should have served since.
      */
-    private double withoutGossip(TrackedUpstream upstream, long nowMicros) {
+    private double loadWithoutGossip(TrackedUpstream upstream, long nowMicros) {
         double served = (nowMicros - upstream.loadReportedMicros)
                 * upstream.machineType.cores
                 / (upstream.serviceTimeFactor() * work.meanWorkMicros());
@@ -38,8 +43,8 @@
                 Math.max(0, upstream.inFlight - upstream.lostAttempts) + Math.max(0, upstream.peerInFlight - served);
         TrackedAttempt oldest = oldestInFlight(upstream);
         if (oldest != null && upstream.lostAttempts == 0) {
-            // A stall shows in the own requests first: a response that is overdue counts as more in flight.
-            double overdue = (nowMicros - oldest.sentMicros) / oldest.expectedMicros - STALL_FACTOR;
+            // A stall shows first in this sidecar's requests, so an overdue response adds to the load.
+            double overdue = (nowMicros - oldest.sentMicros) / oldest.expectedLatencyMicros - STALL_FACTOR;
             if (overdue > 0) {
                 load += overdue * upstream.machineType.cores;
             }
@@ -56,33 +61,37 @@
         return oldest;
     }
 
-    /** Requests that the upstream holds, as far as known; gossip can only raise it. */
+    /** Returns the estimated number of requests that the upstream holds; gossip can only raise it. */
     double load(TrackedUpstream upstream, long nowMicros) {
         int peerInFlight = context.peerLoad.inFlight(nowMicros, upstream.id);
         return peerInFlight == 0
-                ? withoutGossip(upstream, nowMicros)
+                ? loadWithoutGossip(upstream, nowMicros)
                 : Math.max(
-                        withoutGossip(upstream, nowMicros),
+                        loadWithoutGossip(upstream, nowMicros),
                         Math.max(0, upstream.inFlight - upstream.lostAttempts) + peerInFlight);
     }
 
-    /** Requests that an upstream of so many cores should hold at most. */
+    /** Returns the number of requests that an upstream with this number of cores should hold at most. */
     static double staffedCapacity(double cores) {
         return cores + STAFFING_FACTOR * Math.sqrt(cores);
     }
 
-    /** Takes a load report in; the upstream is the last reporter until {@link #clearLastReporter}. */
+    /**
+     * Applies a load report. The upstream is the last reporter until {@link #clearLastReporter} is called.
+     */
     void applyReport(TrackedUpstream upstream, LoadReport report, long nowMicros) {
         if (upstream == null || report == null || report.inFlight() < 0) {
             return;
         }
-        // Overdue here and not held there: lost on its connection, and no load either.
+        // Attempts that are overdue and that the upstream does not hold were lost on their connection: they
+        // are no load.
         int overdue = 0;
         for (TrackedAttempt attempt : upstream.attempts) {
-            boolean late = nowMicros - attempt.sentMicros >= OVERDUE_FACTOR * attempt.expectedMicros;
+            boolean late = nowMicros - attempt.sentMicros >= OVERDUE_FACTOR * attempt.expectedLatencyMicros;
             overdue += !attempt.ended && late ? 1 : 0;
         }
-        // Some upstreams count open streams as requests in flight, some do not: one that reports fewer does not.
+        // Some upstreams count open streams as requests in flight. One that reports fewer requests than it
+        // has streams open does not.
         double held = report.inFlight() - (report.inFlight() >= upstream.openStreams ? upstream.openStreams : 0);
         upstream.lostAttempts = (int) Math.min(overdue, Math.max(0, upstream.inFlight - Math.round(held)));
         upstream.peerInFlight = Math.max(0, held - upstream.inFlight);
@@ -96,14 +105,14 @@
         }
     }
 
-    /** Counts the upstream as full until its next load report. */
+    /** Treats the upstream as full until its next load report. */
     void markFull(TrackedUpstream upstream, long nowMicros) {
         double full = staffedCapacity(upstream.machineType.cores);
-        upstream.peerInFlight = Math.max(withoutGossip(upstream, nowMicros), full) - upstream.inFlight;
+        upstream.peerInFlight = Math.max(loadWithoutGossip(upstream, nowMicros), full) - upstream.inFlight;
         upstream.loadReportedMicros = nowMicros;
     }
 
-    /** The upstream whose load report came with the current event, or null. */
+    /** Returns the upstream whose load report came with the current event, or null. */
     TrackedUpstream lastReporter() {
         return lastReporter;
     }
@@ -112,7 +121,7 @@
         lastReporter = null;
     }
 
-    /** Time of the last load report of any upstream, microseconds. */
+    /** Returns the time of the last load report of any upstream, microseconds. */
     long lastReportMicros() {
         return lastReportMicros;
     }
--- a/src/main/java/loadbalancer/balancing/LoadSampling.java
+++ b/src/main/java/loadbalancer/balancing/LoadSampling.java
@@ -1,16 +1,20 @@
 package loadbalancer.balancing;
 
 /**
- * Asks the two drawn upstreams for their load by health checks before the request is sent: the paper's sampled
- * load.
+ * Health-checks the two drawn upstreams for their load before a request is sent, which is the sampled load of
+ * the HALO paper.
  */
 final class LoadSampling {
-    /** Pairs sampled before a short queue will do. */
+    /** Number of sampled pairs from which on an upstream without a free core is accepted. */
     private static final int MAX_SAMPLED_PAIRS = 3;
-    /** Arrivals of other sidecars' requests that may be missed before an upstream is asked again. */
+    /**
+     * A load report is current until this many requests of other sidecars are expected to have arrived since.
+     */
     private static final double MAX_UNSEEN_ARRIVALS = 0.15;
 
-    private static final int MAX_DOUBLINGS = 2;
+    /** Largest number of times that the delay before the next pair is doubled. */
+    private static final int MAX_DELAY_DOUBLINGS = 2;
+
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final UpstreamDirectory directory;
@@ -33,19 +37,21 @@
     }
 
     /**
-     * The upstream to send to, or null while there is none. A free core takes the request; from the third pair on
-     * the less busy of the pair does. One that has not answered by the next sweep loses. A request that has found
-     * no capacity goes to the upstream that reports a free core.
+     * Returns the upstream to send to, or null while there is none. The less busy upstream of a pair is taken
+     * if it has a free core, and from the third pair on in any case. An upstream that has not responded to
+     * its health check by the next sweep is dropped from the pair. A request that has already sampled a pair
+     * in vain goes to the upstream whose load report has just shown a free core.
      *
-     * @param warming a warming upstream with a free core, or null
+     * @param slowStarting an upstream in slow start with a free core, or null
      */
-    TrackedUpstream pick(long nowMicros, TrackedRequest request, WeightedSampler sampler, TrackedUpstream warming) {
+    TrackedUpstream pick(
+            long nowMicros, TrackedRequest request, WeightedSampler sampler, TrackedUpstream slowStarting) {
         TrackedUpstream reporter = estimators.loads().lastReporter();
         if (reporter != null && request.pairsSampled > 0 && capacity.hasCapacity(nowMicros, request, reporter, true)) {
             request.firstCandidate = null;
             return reporter;
         }
-        if (request.firstCandidate == null && !drawPair(nowMicros, request, sampler, warming)) {
+        if (request.firstCandidate == null && !drawPair(nowMicros, request, sampler, slowStarting)) {
             return null;
         }
         if (!isPairKnown(nowMicros, request) && nowMicros - request.pairSampledMicros < PendingQueue.SWEEP_MICROS) {
@@ -53,7 +59,8 @@
         }
         TrackedUpstream best = best(nowMicros, request, false);
         if (best == null && estimators.loads().lastReportMicros() < request.pairSampledMicros) {
-            // No upstream at all has reported since: a slow sidecar, not two slow upstreams. Own requests decide.
+            // No upstream has reported since the pair was drawn, so this sidecar is slow rather than both
+            // upstreams. Choose by the requests that it has in flight itself.
             best = best(nowMicros, request, true);
             request.firstCandidate = null;
             return best;
@@ -66,20 +73,22 @@
             return best;
         }
         if (request.pairsSampled < MAX_SAMPLED_PAIRS) {
-            return pick(nowMicros, request, sampler, warming);
+            return pick(nowMicros, request, sampler, slowStarting);
         }
-        // Ever rarer, so that a wait costs a bounded number of health checks.
-        int doublings = Math.min(request.pairsSampled - MAX_SAMPLED_PAIRS, MAX_DOUBLINGS);
+        // Sample less and less often, which bounds the health checks that a waiting request costs.
+        int doublings = Math.min(request.pairsSampled - MAX_SAMPLED_PAIRS, MAX_DELAY_DOUBLINGS);
         request.nextPairMicros = nowMicros + (PendingQueue.SWEEP_MICROS << doublings);
         return null;
     }
 
-    /** Draws a pair and asks both for their load; false where it is not yet time or none has capacity. */
-    private boolean drawPair(long nowMicros, TrackedRequest request, WeightedSampler sampler, TrackedUpstream warming) {
+    /** Draws a pair and samples its loads; returns false if it is too early or no upstream has capacity. */
+    private boolean drawPair(
+            long nowMicros, TrackedRequest request, WeightedSampler sampler, TrackedUpstream slowStarting) {
         if (nowMicros < request.nextPairMicros) {
             return false;
         }
-        request.firstCandidate = warming != null ? warming : choices.draw(nowMicros, request, sampler, false, null);
+        request.firstCandidate =
+                slowStarting != null ? slowStarting : choices.draw(nowMicros, request, sampler, false, null);
         if (request.firstCandidate == null) {
             return false;
         }
@@ -103,7 +112,10 @@
                 && (request.secondCandidate == null || isLoadKnown(nowMicros, request, request.secondCandidate));
     }
 
-    /** Whether the load was reported since the pair was drawn, or so lately that others have hardly sent since. */
+    /**
+     * Returns whether the load was reported since the pair was drawn, or so recently that other sidecars have
+     * hardly sent requests since.
+     */
     private boolean isLoadKnown(long nowMicros, TrackedRequest request, TrackedUpstream upstream) {
         if (upstream.loadReportedMicros >= request.pairSampledMicros) {
             return true;
@@ -116,19 +128,23 @@
         return (nowMicros - upstream.loadReportedMicros) * peersRate < MAX_UNSEEN_ARRIVALS;
     }
 
-    /** The less busy of the pair with capacity; unless {@code all}, of those whose load is known. */
-    private TrackedUpstream best(long nowMicros, TrackedRequest request, boolean all) {
-        TrackedUpstream first = eligible(nowMicros, request, request.firstCandidate, all);
-        TrackedUpstream second = eligible(nowMicros, request, request.secondCandidate, all);
+    /**
+     * Returns the less busy upstream of the pair among those with capacity, or null. Unless
+     * {@code allowUnknownLoad} is set, only upstreams whose load is known are considered.
+     */
+    private TrackedUpstream best(long nowMicros, TrackedRequest request, boolean allowUnknownLoad) {
+        TrackedUpstream first = eligibleOrNull(nowMicros, request, request.firstCandidate, allowUnknownLoad);
+        TrackedUpstream second = eligibleOrNull(nowMicros, request, request.secondCandidate, allowUnknownLoad);
         if (first == null || second == null) {
             return first == null ? second : first;
         }
         return choices.lessBusy(nowMicros, request, first, second);
     }
 
-    private TrackedUpstream eligible(long nowMicros, TrackedRequest request, TrackedUpstream candidate, boolean all) {
+    private TrackedUpstream eligibleOrNull(
+            long nowMicros, TrackedRequest request, TrackedUpstream candidate, boolean allowUnknownLoad) {
         boolean eligible = candidate != null
-                && (all || isLoadKnown(nowMicros, request, candidate))
+                && (allowUnknownLoad || isLoadKnown(nowMicros, request, candidate))
                 && capacity.hasCapacity(nowMicros, request, candidate, false);
         return eligible ? candidate : null;
     }
--- a/src/main/java/loadbalancer/balancing/OpenRequests.java
+++ b/src/main/java/loadbalancer/balancing/OpenRequests.java
@@ -1,11 +1,11 @@
 package loadbalancer.balancing;
 
-/** How much a balancer holds, for checks that it lets go of everything; nothing that serves asks. */
+/** Counts the open requests of a balancer, for tests that check for leaks; not used when serving requests. */
 public final class OpenRequests {
     private OpenRequests() {}
 
-    /** Requests that are open; 0 for a balancer of another kind. */
+    /** Returns the number of open requests, or 0 if the balancer is not a {@link HaloBalancer}. */
     public static int count(Balancer balancer) {
-        return balancer instanceof HaloBalancer halo ? halo.dispatcher().openCount() : 0;
+        return balancer instanceof HaloBalancer halo ? halo.dispatcher().openRequestCount() : 0;
     }
 }
--- a/src/main/java/loadbalancer/balancing/OutcomeFeedback.java
+++ b/src/main/java/loadbalancer/balancing/OutcomeFeedback.java
@@ -3,8 +3,8 @@
 import loadbalancer.balancing.Balancer.Outcome;
 
 /**
- * Passes the outcome of an attempt to the estimators that learn from it: the connection, the class, the upstream or its
- * machine type.
+ * Passes the outcome of an attempt to the components that learn from it: about connections, about the request
+ * class on the upstream, or about the upstream and its machine type.
  */
 final class OutcomeFeedback {
     private final ServiceTimeEstimator serviceTimes;
@@ -25,16 +25,17 @@
 
     void apply(long nowMicros, TrackedAttempt attempt, Outcome outcome, long latencyMicros) {
         TrackedUpstream upstream = attempt.upstream;
-        // Apart from ejection: responses to other classes would clear what counts against an upstream.
+        // Tracked separately from outlier detection, where responses to other classes would reset the
+        // failures.
         ClassBackoff.recordOutcome(attempt.request.requestClass, upstream, outcome);
-        boolean connectionToBlame = connections.isIdleDrop(nowMicros, attempt, outcome)
+        boolean connectionFailed = connections.recordOutcome(nowMicros, attempt, outcome)
                 || attempt.lostOnConnection && outcome == Outcome.TIMEOUT;
-        if (connectionToBlame) {
+        if (connectionFailed) {
             return;
         }
-        boolean declined = outcome == Outcome.NOT_SENT || outcome == Outcome.REJECTED;
-        if (attempt.request.arrival.streaming() && declined) {
-            // Its streams are used up, which says nothing of its work.
+        boolean notAccepted = outcome == Outcome.NOT_SENT || outcome == Outcome.REJECTED;
+        if (attempt.request.arrival.streaming() && notAccepted) {
+            // The upstream has no streams left, which implies nothing about its load.
             upstream.streamCapacity = upstream.openStreams;
             upstream.streamsExhaustedMicros = nowMicros;
             return;
@@ -54,7 +55,7 @@
                 loads.markFull(upstream, nowMicros);
             }
             case NOT_SENT, INVALID -> {
-                // Neither says anything of the upstream.
+                // Neither outcome implies anything about the upstream.
             }
         }
     }
--- a/src/main/java/loadbalancer/balancing/OutlierDetector.java
+++ b/src/main/java/loadbalancer/balancing/OutlierDetector.java
@@ -3,30 +3,39 @@
 import java.util.List;
 import loadbalancer.balancing.Balancer.Outcome;
 
-/** Ejects upstreams that fail, for a time that doubles; where most of them fail it ejects none. */
+/**
+ * Ejects upstreams that fail, for a time that doubles with each ejection. While most upstreams are ejected,
+ * ejections are ignored.
+ */
 final class OutlierDetector {
-    /** Failure score that ejects an upstream. */
+    /** Failure score at which an upstream is ejected. */
     private static final int EJECTION_THRESHOLD = 4;
 
     private static final int FAILURE_SCORE = 2;
-    /** A malformed response shows life, and a reset is as often the connection's fault: half a failure. */
-    private static final int MALFORMED_SCORE = 1;
+    /**
+     * Score of a malformed response or a reset, half a failure: a malformed response shows that the upstream
+     * responds, and a reset is as often caused by the connection.
+     */
+    private static final int HALF_FAILURE_SCORE = 1;
 
     private static final long BASE_EJECTION_MICROS = 500_000;
     private static final long MAX_EJECTION_MICROS = 8_000_000;
     private static final int MAX_DOUBLINGS = 10;
-    /** Ejections that a rejection by an upstream with free cores counts as. */
-    private static final int REJECTION_EJECTIONS = 2;
+    /** Number of previous ejections assumed at least when an upstream with free cores rejects a request. */
+    private static final int MIN_EJECTIONS_AFTER_REJECTION = 2;
 
-    /** More than half of the ready upstreams are ejected: failures that hit all alike say little of any one. */
+    /**
+     * Whether more than half of the ready upstreams are ejected: common failures say little about a single
+     * one.
+     */
     private boolean panicMode;
 
-    /** Whether an upstream gets no requests: ejected, or unresponsive to a health check. */
+    /** Returns whether the upstream is ejected or unresponsive to a health check. */
     static boolean isEjected(TrackedUpstream upstream, long nowMicros) {
         return HealthChecks.isUnresponsive(upstream, nowMicros) || nowMicros < upstream.ejectedUntilMicros;
     }
 
-    /** Counts the ejected upstreams again. */
+    /** Enters or leaves panic mode according to the number of upstreams that are ejected now. */
     void refreshPanicMode(List<TrackedUpstream> ready, long nowMicros) {
         int ejected = 0;
         for (TrackedUpstream upstream : ready) {
@@ -36,10 +45,10 @@
     }
 
     /**
-     * Whether the upstream is left out: ejected, or with one request in flight that will tell whether it has
-     * recovered.
+     * Returns whether the upstream gets no requests: it is ejected, or it was ejected and already has a
+     * request in flight that will show whether it has recovered.
      */
-    boolean isLeftOut(TrackedUpstream upstream, long nowMicros) {
+    boolean isExcluded(TrackedUpstream upstream, long nowMicros) {
         return !panicMode
                 && (isEjected(upstream, nowMicros) || upstream.consecutiveEjections > 0 && upstream.inFlight > 0);
     }
@@ -49,7 +58,7 @@
         upstream.consecutiveEjections = 0;
     }
 
-    /** Counts an attempt's failure against the upstream. */
+    /** Adds the failure of an attempt to the upstream's score. */
     void recordAttempt(long nowMicros, TrackedUpstream upstream, Outcome outcome) {
         recordFailure(
                 nowMicros,
@@ -57,27 +66,27 @@
                 switch (outcome) {
                     case CONNECT_FAILED -> EJECTION_THRESHOLD;
                     case ERROR, TIMEOUT -> FAILURE_SCORE;
-                    case RESET, MALFORMED -> MALFORMED_SCORE;
+                    case RESET, MALFORMED -> HALF_FAILURE_SCORE;
                     default -> 0;
                 });
     }
 
-    /** Counts a failed health check against the upstream. */
+    /** Adds a failed health check to the upstream's score. */
     void recordHealthCheck(long nowMicros, TrackedUpstream upstream, Outcome outcome) {
         recordFailure(
                 nowMicros,
                 upstream,
                 switch (outcome) {
                     case CONNECT_FAILED -> EJECTION_THRESHOLD;
-                    case MALFORMED -> MALFORMED_SCORE;
+                    case MALFORMED -> HALF_FAILURE_SCORE;
                     default -> FAILURE_SCORE;
                 });
     }
 
-    /** An upstream that rejects a request while it has free cores is about to leave, or is broken. */
+    /** Ejects an upstream that rejects a request while it has free cores: it is shutting down or broken. */
     void recordRejection(long nowMicros, TrackedUpstream upstream) {
         if (upstream.inFlight < upstream.machineType.cores) {
-            upstream.consecutiveEjections = Math.max(REJECTION_EJECTIONS, upstream.consecutiveEjections);
+            upstream.consecutiveEjections = Math.max(MIN_EJECTIONS_AFTER_REJECTION, upstream.consecutiveEjections);
             recordFailure(nowMicros, upstream, EJECTION_THRESHOLD);
         }
     }
--- a/src/main/java/loadbalancer/balancing/PeerLoad.java
+++ b/src/main/java/loadbalancer/balancing/PeerLoad.java
@@ -3,12 +3,12 @@
 import loadbalancer.balancing.Balancer.Upstream;
 
 /**
- * What the other sidecars' gossip says of upstreams. The balancer compares upstreams by it and judges their
- * capacity; it ejects none and retries nothing because of it. Implementations see to it that no single sidecar
- * moves much.
+ * Load of upstreams according to the gossip of other sidecars. The balancer uses it to compare upstreams and
+ * to estimate their capacity, but does not eject an upstream or retry a request because of it.
+ * Implementations limit the influence of any single sidecar.
  */
 public interface PeerLoad {
-    /** No gossip at all. */
+    /** Peer load without any gossip. */
     PeerLoad NONE = new PeerLoad() {
         @Override
         public int inFlight(long nowMicros, String upstreamId) {
@@ -21,25 +21,31 @@
         }
     };
 
-    /** Requests that other sidecars have in flight at the upstream, from 0. */
+    /** Returns the number of requests that other sidecars have in flight at the upstream. */
     int inFlight(long nowMicros, String upstreamId);
 
-    /** Factor of the upstream's selection weight by what others met there, in (0, 1]; 1 where nothing is known. */
+    /**
+     * Returns a factor in (0, 1] for the upstream's selection weight from other sidecars' outcomes; 1 if
+     * unknown.
+     */
     default double trustFactor(long nowMicros, Upstream upstream) {
         return 1;
     }
 
-    /** Whether there is never any gossip: then only load reports tell of other sidecars' requests. */
+    /** Returns whether there is no usable gossip, so that only load reports show other sidecars' requests. */
     default boolean isUnavailable() {
         return false;
     }
 
-    /** Number of upstreams to keep to, those of lowest {@link #subsetRank}; gossip covers no more. */
+    /**
+     * Returns the number of upstreams to use, those with the lowest {@link #subsetRank}; gossip covers only
+     * these.
+     */
     default int subsetSize() {
         return Integer.MAX_VALUE;
     }
 
-    /** Position of the upstream in the order in which the subset is chosen. */
+    /** Returns the upstream's position in the order in which the subset is selected. */
     default int subsetRank(String upstreamId) {
         return 0;
     }
--- a/src/main/java/loadbalancer/balancing/PendingQueue.java
+++ b/src/main/java/loadbalancer/balancing/PendingQueue.java
@@ -3,11 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Requests that wait for capacity, by {@link TrackedRequest#queueOrderMicros}, and the timer that sweeps them. */
+/**
+ * Requests that wait for capacity, ordered by {@link TrackedRequest#queueOrderMicros}, and the timer of their
+ * sweeps.
+ */
 final class PendingQueue {
-    /** Timer mark of the sweep, part of the simulator's wire. */
+    /** Name of the sweep timer, part of the simulator's wire protocol. */
     static final String TIMER = "hold";
-    /** Time between sweeps, microseconds: requests that find no capacity are given up in time. */
+    /**
+     * Interval between sweeps, microseconds; short enough to give up requests in time if they find no
+     * capacity.
+     */
     static final long SWEEP_MICROS = 5_000;
 
     private final BalancerContext context;
@@ -18,7 +24,7 @@
         this.context = context;
     }
 
-    /** Inserts behind all requests of the same or an earlier order. */
+    /** Inserts the request behind all requests with the same or a lower order. */
     void add(TrackedRequest request) {
         request.queued = true;
         int position = requests.size();
@@ -49,7 +55,7 @@
         return requests.get(position);
     }
 
-    /** Whether no request waits, apart from streams. */
+    /** Returns whether no request waits apart from streams. */
     boolean holdsOnlyStreams() {
         for (TrackedRequest request : requests) {
             if (!request.arrival.streaming()) {
@@ -59,12 +65,12 @@
         return true;
     }
 
-    /** Notes that the timer has fired. */
+    /** Records that the sweep timer has fired. */
     void recordSweep() {
         sweepScheduled = false;
     }
 
-    /** Starts the timer of the next sweep if requests wait for one. */
+    /** Starts the timer of the next sweep if requests wait and it is not running yet. */
     void scheduleSweep() {
         if (!sweepScheduled && !requests.isEmpty()) {
             sweepScheduled = true;
--- a/src/main/java/loadbalancer/balancing/RateGossip.java
+++ b/src/main/java/loadbalancer/balancing/RateGossip.java
@@ -2,7 +2,9 @@
 
 import java.nio.ByteBuffer;
 
-/** One gossip message about rates and speeds, and its encoding in big-endian fixed-point numbers. */
+/**
+ * A gossip message with request rates and service-time factors, encoded as big-endian fixed-point numbers.
+ */
 final class RateGossip {
     private static final byte MESSAGE_TAG = 'R';
     private static final double RATE_SCALE = 100;
@@ -11,15 +13,15 @@
     private static final int UNSIGNED_SHORT_MAX = 65_535;
     private static final int UNSIGNED_BYTE_MAX = 255;
 
-    /** Mean requests a second of the fleet's sidecars, the part of each zone. */
+    /** Mean requests per second over the fleet's sidecars, split by the zone of the sidecar. */
     final double[] zoneRates;
     /** Service-time factor of each machine type. */
     final double[] serviceTimeFactors;
-    /** Responses behind each machine type's factor. */
+    /** Number of responses on which each machine type's factor is based. */
     final int[] responseCounts;
-    /** Latency as a multiple of the best one, see {@link CongestionEstimator}. */
+    /** Latency as a multiple of the best latency, see {@link CongestionEstimator}. */
     double congestion;
-    /** Idle time after which connections are dropped, microseconds; 0 where none was seen dropped. */
+    /** Idle time after which connections are dropped, microseconds; 0 if no drop was observed. */
     long idleLimitMicros;
 
     RateGossip(int zones, int machineTypes) {
@@ -53,7 +55,9 @@
         return (short) Math.min(UNSIGNED_SHORT_MAX, Math.round(value));
     }
 
-    /** Reads a message; false where the bytes are none of this shape, and then nothing may be taken from it. */
+    /**
+     * Decodes a message; returns false and leaves the fields unchanged if the tag or the length is wrong.
+     */
     boolean decode(byte[] message) {
         if (message.length != encodedLength() || message[0] != MESSAGE_TAG) {
             return false;
--- a/src/main/java/loadbalancer/balancing/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/balancing/RequestDispatcher.java
@@ -5,10 +5,14 @@
 import loadbalancer.balancing.Balancer.Outcome;
 import loadbalancer.balancing.Balancer.Request;
 
-/** Takes each request from its arrival over its attempts to one final answer: served, rejected or failed. */
+/**
+ * Handles each request from its arrival through its attempts to one final answer: served, rejected or failed.
+ */
 final class RequestDispatcher {
-    /** A queued request starts no later than this many expected services before its latency objective. */
-    private static final double QUEUE_SLACK_FACTOR = 1.5;
+    /**
+     * A queued request starts no later than this many expected service times before its latency objective.
+     */
+    private static final double QUEUE_SLACK_SERVICE_TIMES = 1.5;
 
     private final BalancerContext context;
     private final UpstreamDirectory directory;
@@ -38,22 +42,25 @@
         queue = new PendingQueue(context);
     }
 
-    /** The open request of this id, or null. */
+    /** Returns the open request with this id, or null. */
     TrackedRequest find(String requestId) {
         return openRequests.get(requestId);
     }
 
-    /** Requests from arrival to the end of their last attempt. */
-    int openCount() {
+    /**
+     * Returns the number of open requests. A request is open from its arrival until its last attempt has
+     * ended.
+     */
+    int openRequestCount() {
         return openRequests.size();
     }
 
-    /** Takes the settings' classes for requests from now on. */
-    void useClasses() {
-        factory.useClasses(context.settings);
+    /** Applies the classes of the current settings to requests that arrive from now on. */
+    void reloadClasses() {
+        factory.reloadClasses(context.settings);
     }
 
-    /** Admits a request: sends, queues or sheds it. */
+    /** Sends, queues or rejects a request that has arrived. */
     void admit(long nowMicros, Request arrival) {
         if (!arrival.streaming()) {
             estimators.arrivals().recordArrival();
@@ -65,8 +72,8 @@
             rejectOrFail(request);
             return;
         }
-        boolean first = context.samplesLoad || queue.holdsOnlyStreams();
-        TrackedUpstream upstream = first ? picker.pick(nowMicros, request) : null;
+        boolean skipsQueue = context.samplesLoad || queue.holdsOnlyStreams();
+        TrackedUpstream upstream = skipsQueue ? picker.pick(nowMicros, request) : null;
         capacity.recordArrival(upstream != null);
         if (upstream != null) {
             send(nowMicros, request, upstream);
@@ -80,14 +87,14 @@
     private void enqueue(long nowMicros, TrackedRequest request) {
         boolean tooLate = nowMicros >= latestStartMicros(request);
         if (tooLate || context.constraints.isUnservable(nowMicros, request.arrival)) {
-            // The sweep would come after its deadline, or in vain.
+            // The next sweep would be too late, or no upstream can ever take the request.
             rejectOrFail(request);
         } else {
             queue.add(request);
         }
     }
 
-    /** The sweep's timer has fired. */
+    /** Handles the sweep timer. */
     void sweep(long nowMicros) {
         queue.recordSweep();
         dispatchQueue(nowMicros, true);
@@ -95,12 +102,12 @@
     }
 
     /**
-     * Sends queued requests in order while there is capacity; with {@code sweep} also gives up those that are too
-     * late.
+     * Sends queued requests in order while there is capacity, and rejects or fails those that are too late.
+     * Unless {@code wholeQueue} is set, stops at the first request that shows that no capacity is left.
      */
-    void dispatchQueue(long nowMicros, boolean sweep) {
+    void dispatchQueue(long nowMicros, boolean wholeQueue) {
         boolean capacityLeft = true;
-        for (int i = 0; i < queue.size() && (capacityLeft || sweep); i++) {
+        for (int i = 0; i < queue.size() && (capacityLeft || wholeQueue); i++) {
             TrackedRequest request = queue.get(i);
             boolean mayStart = capacityLeft || !request.attempts.isEmpty();
             TrackedUpstream upstream = mayStart ? picker.pick(nowMicros, request) : null;
@@ -112,34 +119,44 @@
                     rejectOrFail(request);
                 }
             } else {
-                // One that may go anywhere finds no capacity: the rest waits too, in its order.
+                // A first attempt may go to any upstream: if it finds no capacity, the requests behind it
+                // wait too.
                 capacityLeft &= context.samplesLoad || request.arrival.streaming() || !request.attempts.isEmpty();
             }
         }
     }
 
-    /** The latest start from which a useful response can be hoped for, microseconds. */
+    /**
+     * Returns the latest time at which an attempt can start and still bring a useful response, microseconds.
+     */
     private long latestStartMicros(TrackedRequest request) {
         long latestMicros = request.deadlineMicros - PendingQueue.SWEEP_MICROS - 2 * context.settings.tickMicros();
         if (request.arrival.streaming()) {
-            // Worth beginning late, unless the client can come again at once.
+            // A late stream is still useful; it is only given up earlier if a rejection lets the client
+            // retry.
             return rules.mayReject(request) ? Math.min(latestMicros, request.usefulUntilMicros) : latestMicros;
         }
-        // While a pair is asked for its load the request does not queue yet.
+        // No slack is reserved while a pair is being sampled: the request is not waiting for capacity yet.
         boolean sampling = request.firstCandidate != null;
-        double slackMicros = sampling ? 0 : QUEUE_SLACK_FACTOR * split.bestServiceTimeFactor() * request.workMicros;
+        double slackMicros =
+                sampling ? 0 : QUEUE_SLACK_SERVICE_TIMES * split.bestServiceTimeFactor() * request.workMicros;
         return Math.min(latestMicros, (long) (request.usefulUntilMicros - slackMicros));
     }
 
-    /** Sends the request to the upstream; {@link AttemptRules#maySend} has to hold. */
+    /**
+     * Sends the request to the upstream.
+     *
+     * @throws IllegalStateException if {@link AttemptRules#maySend} forbids the attempt
+     */
     void send(long nowMicros, TrackedRequest request, TrackedUpstream upstream) {
         if (!rules.maySend(nowMicros, request, upstream)) {
-            throw new IllegalStateException("a send against the rules");
+            throw new IllegalStateException("attempt rules forbid sending request '" + request.arrival.id()
+                    + "' to upstream '" + upstream.id + "'");
         }
         double load = estimators.loads().load(upstream, nowMicros);
-        double expectedMicros =
+        double expectedLatencyMicros =
                 estimators.serviceTimes().expectedLatencyMicros(upstream, request.workMicros, load, nowMicros);
-        TrackedAttempt attempt = new TrackedAttempt(request, upstream, nowMicros, load, expectedMicros);
+        TrackedAttempt attempt = new TrackedAttempt(request, upstream, nowMicros, load, expectedLatencyMicros);
         request.attempts.add(attempt);
         if (request.arrival.streaming()) {
             upstream.openStreams++;
@@ -151,22 +168,25 @@
         connections.prepare(nowMicros, attempt);
         ClassBackoff.recordSend(nowMicros, request.requestClass, upstream);
         context.actions.send(request.arrival.id(), upstream.id, request.deadlineMicros);
-        hedging.watch(nowMicros, attempt);
+        hedging.startOverdueTimer(nowMicros, attempt);
     }
 
-    /** An attempt has ended; {@code done}: the request has its answer. */
-    void attemptEnded(long nowMicros, TrackedRequest request, Outcome outcome, boolean done) {
-        if (done || request.finished) {
+    /** Handles the end of an attempt: finishes, retries or fails its request. */
+    void onAttemptEnd(long nowMicros, TrackedRequest request, Outcome outcome, boolean requestAnswered) {
+        if (requestAnswered || request.finished) {
             finish(request);
         } else if (outcome == Outcome.INVALID) {
             fail(request);
         } else if (!request.responseStarted) {
-            retryOrFinish(nowMicros, request);
+            retryOrGiveUp(nowMicros, request);
         }
     }
 
-    /** Another attempt where the rules and the time allow, else the final answer. */
-    private void retryOrFinish(long nowMicros, TrackedRequest request) {
+    /**
+     * Sends or queues another attempt if the rules and the time left allow it, else rejects or fails the
+     * request.
+     */
+    private void retryOrGiveUp(long nowMicros, TrackedRequest request) {
         if (!request.allAttemptsEnded()) {
             return;
         }
@@ -191,8 +211,8 @@
 
     private void rejectOrFail(TrackedRequest request) {
         if (rules.mayReject(request)) {
-            boolean advised = context.settings.limits().retryAfterAllowed();
-            reject(request, advised ? request.requestClass.latencyObjectiveMicros() / 2 : 0);
+            boolean retryAfterAllowed = context.settings.limits().retryAfterAllowed();
+            reject(request, retryAfterAllowed ? request.requestClass.latencyObjectiveMicros() / 2 : 0);
         } else {
             fail(request);
         }
@@ -212,7 +232,10 @@
         }
     }
 
-    /** The request has its final answer, or nobody waits for one; it stays open until its last attempt ends. */
+    /**
+     * Finishes a request that has its final answer or whose client waits no longer. The request stays open
+     * until its last attempt ends.
+     */
     void finish(TrackedRequest request) {
         request.finished = true;
         queue.remove(request);
--- a/src/main/java/loadbalancer/balancing/RequestFactory.java
+++ b/src/main/java/loadbalancer/balancing/RequestFactory.java
@@ -6,7 +6,7 @@
 import loadbalancer.balancing.Balancer.RequestClass;
 import loadbalancer.balancing.Balancer.Settings;
 
-/** Gives each arriving request its class, expected work, deadlines and place in the queue. */
+/** Creates the state of an arriving request: its class, expected work, deadlines and queue order. */
 final class RequestFactory {
     private final BalancerContext context;
     private final WorkEstimator work;
@@ -16,11 +16,11 @@
     RequestFactory(BalancerContext context, WorkEstimator work) {
         this.context = context;
         this.work = work;
-        useClasses(context.settings);
+        reloadClasses(context.settings);
     }
 
-    /** Takes the settings' classes for requests from now on. */
-    void useClasses(Settings settings) {
+    /** Applies the classes of the settings to requests that arrive from now on. */
+    void reloadClasses(Settings settings) {
         classesByName.clear();
         maxPriorityWeight = 0;
         for (RequestClass requestClass : settings.classes()) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /** @throws IllegalArgumentException if the settings have no class of the request's name */
+    /** @throws IllegalArgumentException if the settings do not define the request's class */
     TrackedRequest create(long nowMicros, Request arrival) {
         RequestClass requestClass = classOf(arrival);
         double workMicros = work.workMicros(arrival, requestClass);
@@ -44,8 +44,9 @@
                 (requestClass.latencyObjectiveMicros() + requestClass.latencyObjectiveWorkMultiple() * workMicros);
         long usefulMicros = requestClass.lateWeightFraction() > 0 ? arrival.remainingMicros() : objectiveMicros;
         request.usefulUntilMicros = Math.min(request.deadlineMicros, nowMicros + usefulMicros);
-        double rank = (1 - requestClass.priorityWeight() / maxPriorityWeight) / 2 + (arrival.retriedByClient() ? 1 : 0);
-        request.queueOrderMicros = nowMicros + objectiveMicros + (long) (rank * objectiveMicros);
+        double delayFactor =
+                (1 - requestClass.priorityWeight() / maxPriorityWeight) / 2 + (arrival.retriedByClient() ? 1 : 0);
+        request.queueOrderMicros = nowMicros + objectiveMicros + (long) (delayFactor * objectiveMicros);
         return request;
     }
 
@@ -55,7 +56,7 @@
         }
         RequestClass requestClass = classesByName.get(arrival.requestClass());
         if (requestClass == null) {
-            throw new IllegalArgumentException("no class '" + arrival.requestClass() + "'");
+            throw new IllegalArgumentException("the settings define no request class '" + arrival.requestClass() + "'");
         }
         return requestClass;
     }
--- a/src/main/java/loadbalancer/balancing/RequestSplit.java
+++ b/src/main/java/loadbalancer/balancing/RequestSplit.java
@@ -6,13 +6,19 @@
 import java.util.Map;
 
 /**
- * Keeps the split of Eq. (4) current: groups the subset by machine type, with upstreams that deviate or warm up as
- * groups of their own, solves the equation for the fleet's rate, and fills the samplers with the weights p_i / k_i.
+ * Keeps the split of Eq. (4) up to date. Groups the subset's upstreams by machine type, with upstreams that
+ * deviate from it or are in slow start as groups of their own, solves the equation for the fleet's request
+ * rate, and fills the samplers with the weights p_i / k_i.
  */
 final class RequestSplit {
-    /** Time between solutions, microseconds: well under the seconds in which speeds and rates change. */
-    private static final long INTERVAL_MICROS = 100_000;
-    /** Weight floor as a part of the service rate; it matters only when all upstreams with a share are full. */
+    /**
+     * Interval at which Eq. (4) is solved, microseconds; short compared with the seconds in which rates
+     * change.
+     */
+    private static final long SOLVE_INTERVAL_MICROS = 100_000;
+    /**
+     * Least weight as a fraction of the service rate; only matters if all upstreams with a share are full.
+     */
     private static final double MIN_WEIGHT = 1e-6;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -27,12 +33,12 @@
     private final OutlierDetector outliers;
     private final SubsetSelection subsets;
     private final WeightedSampler allZones = new WeightedSampler();
-    /** The own zone's upstreams, where crossing has a price. */
+    /** Upstreams in the local zone; empty if crossing zones has no price. */
     private final WeightedSampler localZone = new WeightedSampler();
-    /** Other zones' upstreams, where crossing has a price. */
+    /** Upstreams in other zones; empty if crossing zones has no price. */
     private final WeightedSampler otherZones = new WeightedSampler();
-    /** Warming upstreams with a share. */
-    private final List<TrackedUpstream> warming = new ArrayList<>();
+    /** Upstreams in slow start that have a share in the solution of Eq. (4). */
+    private final List<TrackedUpstream> slowStarting = new ArrayList<>();
 
     private List<TrackedUpstream> subset = List.of();
     private long solvedMicros;
@@ -55,25 +61,25 @@
         slowStart = estimators.slowStart();
         this.outliers = outliers;
         this.subsets = subsets;
-        solvedMicros = nowMicros - INTERVAL_MICROS;
+        solvedMicros = nowMicros - SOLVE_INTERVAL_MICROS;
     }
 
-    /** The next refresh selects the subset and solves anew, whatever the time since the last. */
+    /** Makes the next refresh select the subset and solve Eq. (4) again. */
     void invalidate(long nowMicros) {
-        solvedMicros = nowMicros - INTERVAL_MICROS;
-        subsetSelectedMicros = nowMicros - FleetGossip.INTERVAL_MICROS - 1;
+        solvedMicros = nowMicros - SOLVE_INTERVAL_MICROS;
+        subsetSelectedMicros = nowMicros - FleetGossip.SEND_INTERVAL_MICROS - 1;
     }
 
-    /** Solves anew if the last solution is too old; called with every request. */
+    /** Solves Eq. (4) again if the last solution is older than the interval. */
     void refresh(long nowMicros) {
-        if (nowMicros - solvedMicros < INTERVAL_MICROS) {
+        if (nowMicros - solvedMicros < SOLVE_INTERVAL_MICROS) {
             return;
         }
         arrivals.measure(nowMicros);
         congestion.refreshSources();
         solvedMicros = nowMicros;
         outliers.refreshPanicMode(directory.ready(), nowMicros);
-        boolean subsetExpired = nowMicros - subsetSelectedMicros > FleetGossip.INTERVAL_MICROS;
+        boolean subsetExpired = nowMicros - subsetSelectedMicros > FleetGossip.SEND_INTERVAL_MICROS;
         if (directory.hasPeerSubset() || subsetExpired) {
             subsetSelectedMicros = nowMicros;
             subset = subsets.select(nowMicros);
@@ -88,8 +94,9 @@
         Map<Object, List<TrackedUpstream>> byGroup = new LinkedHashMap<>();
         for (TrackedUpstream upstream : subset) {
             ServiceTimeEstimator.expire(upstream, nowMicros);
-            boolean apart = ServiceTimeEstimator.deviates(upstream) || slowStart.warmupFactor(upstream, nowMicros) < 1;
-            byGroup.computeIfAbsent(apart ? upstream : upstream.machineType, key -> new ArrayList<>())
+            boolean ownGroup =
+                    ServiceTimeEstimator.deviates(upstream) || slowStart.warmupFactor(upstream, nowMicros) < 1;
+            byGroup.computeIfAbsent(ownGroup ? upstream : upstream.machineType, key -> new ArrayList<>())
                     .add(upstream);
         }
         return new ArrayList<>(byGroup.values());
@@ -110,7 +117,7 @@
         allZones.clear();
         localZone.clear();
         otherZones.clear();
-        warming.clear();
+        slowStarting.clear();
         for (int i = 0; i < groupSizes.length; i++) {
             double weight = Math.max(probabilities[i] / groupSizes[i], MIN_WEIGHT * serviceRates[i]);
             for (TrackedUpstream upstream : groups.get(i)) {
@@ -119,7 +126,7 @@
         }
     }
 
-    /** Requests a second that one upstream of the group serves. */
+    /** Returns the requests per second that one upstream of the group can serve. */
     private double serviceRate(List<TrackedUpstream> group, long nowMicros) {
         TrackedUpstream first = group.get(0);
         double serviceTimeFactor = group.stream()
@@ -143,31 +150,36 @@
             (local ? localZone : otherZones).add(upstream);
         }
         if (hasShare && warmupFactor < 1) {
-            warming.add(upstream);
+            slowStarting.add(upstream);
         }
     }
 
-    /** The whole subset. */
+    /** Returns the sampler of the whole subset. */
     WeightedSampler allZones() {
         return allZones;
     }
 
-    /** The subset's upstreams in the own zone; empty where crossing has no price. */
+    /**
+     * Returns the sampler of the subset's upstreams in the local zone; empty if crossing zones has no price.
+     */
     WeightedSampler localZone() {
         return localZone;
     }
 
-    /** The subset's upstreams in other zones; empty where crossing has no price. */
+    /** Returns the sampler of the subset's upstreams in other zones; empty if crossing zones has no price. */
     WeightedSampler otherZones() {
         return otherZones;
     }
 
-    /** Warming upstreams with a share, for the turns of many sidecars. */
-    List<TrackedUpstream> warming() {
-        return warming;
+    /** Returns the upstreams in slow start that have a share; the sidecars send to them in turns. */
+    List<TrackedUpstream> slowStarting() {
+        return slowStarting;
     }
 
-    /** Lowest service-time factor in the subset: the time that work takes at least, as a multiple of the work. */
+    /**
+     * Returns the lowest service-time factor in the subset: the least time for work, as a multiple of the
+     * work.
+     */
     double bestServiceTimeFactor() {
         return bestServiceTimeFactor;
     }
--- a/src/main/java/loadbalancer/balancing/RoutingConstraints.java
+++ b/src/main/java/loadbalancer/balancing/RoutingConstraints.java
@@ -4,12 +4,12 @@
 import loadbalancer.balancing.Balancer.Upstream;
 
 /**
- * What other modules require of routing: limits, weights, and what is known of a request's earlier attempts. The
- * balancer asks often, so calls have to be cheap and without side effects. Constraints can only forbid: they lift
- * none of the balancer's own rules.
+ * Constraints that other modules put on routing: limits, weights, and knowledge about a request's earlier
+ * attempts. The balancer calls them often, so they must be cheap and free of side effects. Constraints can
+ * only forbid; they do not lift any of the balancer's own rules.
  */
 public interface RoutingConstraints {
-    /** Forbids nothing. */
+    /** Constraints that forbid nothing. */
     RoutingConstraints NONE = new RoutingConstraints() {
         @Override
         public boolean allows(long nowMicros, Request request, Upstream upstream) {
@@ -32,15 +32,15 @@
         }
     };
 
-    /** Whether an attempt at the request may go to the upstream now. */
+    /** Returns whether an attempt at the request may be sent to the upstream now. */
     boolean allows(long nowMicros, Request request, Upstream upstream);
 
-    /** Factor of the upstream's selection weight, from 0; 1 leaves the split as it is. */
+    /** Returns a factor, at least 0, for the upstream's selection weight; 1 leaves the split unchanged. */
     double weight(Upstream upstream);
 
-    /** False where an earlier attempt may have run: then the request can only be failed. */
+    /** Returns false if an earlier attempt may have run, so that the request can only be failed. */
     boolean mayReject(Request request);
 
-    /** Whether no attempt at the request can be allowed any more, so that it need not wait. */
+    /** Returns whether no attempt at the request can be allowed any more, so that waiting is useless. */
     boolean isUnservable(long nowMicros, Request request);
 }
--- a/src/main/java/loadbalancer/balancing/Selection.java
+++ b/src/main/java/loadbalancer/balancing/Selection.java
@@ -1,6 +1,6 @@
 package loadbalancer.balancing;
 
-/** The parts that choose upstreams and judge what may be sent to them. */
+/** The components that select upstreams and check what may be sent to them. */
 record Selection(
         AttemptRules rules,
         ConnectionReuse connections,
--- a/src/main/java/loadbalancer/balancing/ServiceTimeEstimator.java
+++ b/src/main/java/loadbalancer/balancing/ServiceTimeEstimator.java
@@ -2,28 +2,32 @@
 
 import loadbalancer.balancing.Balancer.LoadReporting;
 
-/** Learns from latencies how fast upstreams and their machine types are, and expects latencies by it. */
+/** Estimates from latencies how fast upstreams and their machine types are, and predicts latencies. */
 final class ServiceTimeEstimator {
-    /** Step of the estimates: about ten responses tell an upstream's speed. */
+    /** Gain of the estimates: about ten responses determine an upstream's speed. */
     private static final double GAIN = 0.1;
-    /** Step of slower estimates: cores, and work by class. */
+    /** Gain of the estimates that change more slowly: cores, and work by class. */
     private static final double SLOW_GAIN = GAIN / 4;
 
-    private static final double MIN_FIRST_STEP = 0.25;
-    /** An upstream so many times off its machine type is a group of its own: beyond the noise of the estimates. */
+    /** Smallest multiple of the gain with which a response changes the estimate of its machine type. */
+    private static final double MIN_MACHINE_TYPE_GAIN_MULTIPLE = 0.25;
+    /**
+     * Factor by which an upstream must differ from its machine type to deviate; less is noise of the
+     * estimates.
+     */
     private static final double DEVIATION_THRESHOLD = 1.6;
     /**
-     * An estimate without responses for this long starts to return, so that the upstream is tried again;
-     * microseconds.
+     * Time without responses after which an estimate starts to return to its default, so that the upstream is
+     * tried again; microseconds.
      */
     private static final long EXPIRY_MICROS = 3_000_000;
-    /** Part of the way that an expired estimate returns at each solution of the split. */
+    /** Fraction by which an expired estimate approaches its default each time the split is solved. */
     private static final double RETURN_GAIN = 0.02;
     /**
-     * The best factor drifts up by this at each solution of the split, so that a lucky start does not count for
-     * ever.
+     * Factor by which the best service-time factor grows each time the split is solved, so that a few
+     * exceptionally fast responses do not determine it for ever.
      */
-    private static final double BEST_FACTOR_DECAY = 1.0005;
+    private static final double BEST_FACTOR_GROWTH = 1.0005;
 
     private final BalancerContext context;
     private final WorkEstimator work;
@@ -39,8 +43,8 @@
     }
 
     /**
-     * Latency to expect of work on an upstream that holds {@code load} other requests, first come first served;
-     * microseconds.
+     * Returns the expected latency of work on an upstream that holds {@code load} other requests and serves
+     * them first come, first served; microseconds.
      */
     double expectedLatencyMicros(TrackedUpstream upstream, double workMicros, double load, long nowMicros) {
         return upstream.serviceTimeFactor()
@@ -48,17 +52,19 @@
                 / slowStart.warmupFactor(upstream, nowMicros);
     }
 
-    /** Time in queue on an upstream of service-time factor 1, microseconds. */
+    /** Returns the queueing time on an upstream of service-time factor 1, microseconds. */
     private double queueingMicros(TrackedUpstream upstream, double load) {
         double cores = Math.max(1, upstream.machineType.cores);
         return Math.max(0, load + 1 - cores) / cores * work.meanWorkMicros();
     }
 
-    /** Learns from an attempt's latency; that of a failed one is only a lower bound. */
+    /**
+     * Updates the estimates with an attempt's latency; the latency of a failed attempt is only a lower bound.
+     */
     void learn(TrackedAttempt attempt, long latencyMicros, boolean success, long nowMicros) {
         TrackedUpstream upstream = attempt.upstream;
         MachineType machineType = upstream.machineType;
-        double latencyRatio = latencyMicros / Math.max(1, attempt.baselineMicros);
+        double latencyRatio = latencyMicros / Math.max(1, attempt.baselineLatencyMicros);
         if (attempt.request.arrival.streaming() || !success && latencyRatio < upstream.serviceTimeFactor()) {
             return;
         }
@@ -72,10 +78,11 @@
         machineType.lastResponseMicros = nowMicros;
         upstream.lastResponseMicros = nowMicros;
         if (success && !deviates(upstream)) {
-            // Towards what was seen: steps that only add up drift. The first responses move the machine type's estimate
-            // further.
-            double firstSteps = gain * Math.max(MIN_FIRST_STEP, 1 / GAIN / (++machineType.responseCount + 1));
-            machineType.serviceTimeFactor *= 1 + firstSteps * excess(latencyRatio, machineType.serviceTimeFactor);
+            // Move towards the observed ratio itself: adding up steps relative to the upstream's estimate
+            // would drift. The first responses of a machine type change its estimate more.
+            double machineTypeGain =
+                    gain * Math.max(MIN_MACHINE_TYPE_GAIN_MULTIPLE, 1 / GAIN / (++machineType.responseCount + 1));
+            machineType.serviceTimeFactor *= 1 + machineTypeGain * excess(latencyRatio, machineType.serviceTimeFactor);
         }
         upstream.deviationFactor *= 1 + gain * excess(latencyRatio, upstream.serviceTimeFactor());
         if (success && attempt.request.arrival.costHintMicros() <= 0) {
@@ -85,8 +92,8 @@
     }
 
     /**
-     * Queueing tells of cores, the rest of speed: each response teaches by its part. Returns the part of the
-     * queueing.
+     * Adjusts the estimate of cores by the part of the latency that is due to queueing; the rest reflects the
+     * upstream's speed. Returns the fraction that is due to queueing.
      */
     private double learnCores(TrackedAttempt attempt, double latencyRatio) {
         TrackedUpstream upstream = attempt.upstream;
@@ -97,27 +104,34 @@
         return fraction;
     }
 
-    /** How much a bounded observation exceeds the estimate, as a part of the estimate. */
+    /** Returns by how much a bounded observation exceeds the estimate, as a fraction of the estimate. */
     private static double excess(double observed, double estimate) {
         return Math.min(WorkEstimator.MAX_RATIO_TO_EXPECTED, observed / estimate) - 1;
     }
 
+    /** Returns whether the upstream is clearly faster or slower than its machine type. */
     static boolean deviates(TrackedUpstream upstream) {
         return upstream.deviationFactor > DEVIATION_THRESHOLD || upstream.deviationFactor * DEVIATION_THRESHOLD < 1;
     }
 
-    /** A machine type thought slow gets no requests that would tell otherwise: its estimate returns to its best. */
+    /**
+     * Moves the estimate of a machine type without recent responses gradually back to its best value. A
+     * machine type that is estimated as slow may get no requests that would correct the estimate.
+     */
     static void expire(MachineType machineType, long nowMicros) {
         if (nowMicros - machineType.lastResponseMicros > EXPIRY_MICROS) {
             machineType.serviceTimeFactor +=
                     RETURN_GAIN * (machineType.bestServiceTimeFactor - machineType.serviceTimeFactor);
         }
-        machineType.bestServiceTimeFactor = machineType.responseCount < FleetGossip.MAX_RESPONSE_EVIDENCE
+        machineType.bestServiceTimeFactor = machineType.responseCount < FleetGossip.MAX_COUNTED_RESPONSES
                 ? machineType.serviceTimeFactor
-                : Math.min(machineType.serviceTimeFactor, machineType.bestServiceTimeFactor * BEST_FACTOR_DECAY);
+                : Math.min(machineType.serviceTimeFactor, machineType.bestServiceTimeFactor * BEST_FACTOR_GROWTH);
     }
 
-    /** An upstream without responses returns to the speed of its machine type. */
+    /**
+     * Moves the estimate of an upstream without recent responses gradually back to the speed of its machine
+     * type.
+     */
     static void expire(TrackedUpstream upstream, long nowMicros) {
         if (nowMicros - upstream.lastResponseMicros > EXPIRY_MICROS) {
             upstream.deviationFactor += RETURN_GAIN * (1 - upstream.deviationFactor);
--- a/src/main/java/loadbalancer/balancing/SlowStart.java
+++ b/src/main/java/loadbalancer/balancing/SlowStart.java
@@ -3,15 +3,18 @@
 import loadbalancer.balancing.Balancer.Rules;
 
 /**
- * Slow start of upstreams that have just started: the capacity to expect of them, and the budget that keeps all
- * sidecars together from overloading them (fourth rule) without any message between them.
+ * Slow start of upstreams that have started recently: their expected capacity, and the budget with which all
+ * sidecars together avoid overloading them ({@link Rules#overloadMultiple}) without exchanging messages.
  */
 final class SlowStart {
-    /** Part of the budget that is used: costs and speeds are estimates. */
+    /** Fraction of the budget that is used, as costs and speeds are only estimates. */
     private static final double BUDGET_FRACTION = 0.8;
-    /** Slots that any window of the rule can overlap. */
+    /** Number of slots that an overload window can overlap. */
     private static final double SLOTS_PER_WINDOW = 3;
-    /** The same where the load is sampled before each send: each sidecar sees what the last one sent. */
+    /**
+     * Slots to divide a window's budget among if loads are sampled; fewer, as each sidecar sees what others
+     * have sent.
+     */
     private static final double SAMPLED_SLOTS_PER_WINDOW = 1.5;
 
     private final BalancerContext context;
@@ -23,7 +26,8 @@
     }
 
     /**
-     * The part of its full capacity, in (0, 1], that an upstream surely has: the slowest ramp that the rules allow.
+     * Returns the fraction of its full capacity, in (0, 1], that an upstream has at least: that of the
+     * slowest ramp that the rules allow.
      */
     double warmupFactor(TrackedUpstream upstream, long nowMicros) {
         return warmupFactor(upstream.endpoint.startedMicros(), nowMicros);
@@ -36,13 +40,17 @@
     }
 
     /**
-     * Whether the sidecar's part of a warming upstream's budget leaves room for so much work. Half a window of the
-     * rule is a slot. In each slot the sidecars may send as many mean requests as a third of a window's budget
-     * holds, an equal part each; the remainder goes by a turn that depends on sidecar, upstream and slot. Where the
-     * load is sampled there are twice the turns, one after the other.
+     * Returns whether this sidecar's share of the budget of an upstream in slow start allows this much more
+     * work.
+     *
+     * <p>A slot is half an overload window. In each slot the sidecars together may send as many mean requests
+     * as a third of a window's budget holds. Each sidecar gets an equal share; the remainder goes to the
+     * first sidecars in an order that depends on upstream and slot. If loads are sampled there are twice as
+     * many requests per slot, and the sidecars take their turns one after the other.
      */
     boolean hasBudget(long nowMicros, TrackedUpstream upstream, double workMicros) {
-        // One that may have restarted is bounded as if it had; what is expected of it stays as it was.
+        // An upstream that may have restarted gets the budget of a restarted one, but its expected capacity
+        // is kept.
         long fromMicros = upstream.endpoint.latestStartMicros();
         if (warmupFactor(fromMicros, nowMicros) >= 1) {
             return true;
@@ -55,21 +63,21 @@
                 warmupFactor(fromMicros, slotStartMicros) * Math.max(1, upstream.machineType.cores) / serviceTimeFactor;
         double budget = BUDGET_FRACTION * context.settings.rules().overloadMultiple() * capacity * windowMicros;
         double meanWorkMicros = work.meanWorkMicros();
-        long requests =
+        long requestsPerSlot =
                 (long) (budget / (context.samplesLoad ? SAMPLED_SLOTS_PER_WINDOW : SLOTS_PER_WINDOW) / meanWorkMicros);
         int sidecarCount = context.settings.sidecarCount();
         long turn =
                 Math.floorMod(context.settings.sidecarIndex() - hash(upstream.id.hashCode(), (int) slot), sidecarCount);
-        long own = requests / sidecarCount + (turn < requests % sidecarCount ? 1 : 0);
-        long spacingMicros = context.samplesLoad ? windowMicros / 4 / Math.max(1, requests) : 0;
+        long ownRequests = requestsPerSlot / sidecarCount + (turn < requestsPerSlot % sidecarCount ? 1 : 0);
+        long spacingMicros = context.samplesLoad ? windowMicros / 4 / Math.max(1, requestsPerSlot) : 0;
         double sentMicros = upstream.warmupSlot == slot ? upstream.warmupSlotWorkMicros : 0;
-        boolean due = own > 0 && nowMicros >= slotStartMicros + turn * spacingMicros;
+        boolean due = ownRequests > 0 && nowMicros >= slotStartMicros + turn * spacingMicros;
         return due
                 && workMicros <= WorkEstimator.MAX_RATIO_TO_EXPECTED * meanWorkMicros
-                && (sentMicros == 0 || sentMicros + workMicros <= own * meanWorkMicros);
+                && (sentMicros == 0 || sentMicros + workMicros <= ownRequests * meanWorkMicros);
     }
 
-    /** Charges a send to the slot's budget. */
+    /** Charges the work of a request to the current slot's budget. */
     void recordSend(long nowMicros, TrackedUpstream upstream, double workMicros) {
         long slot = slot(upstream, nowMicros);
         upstream.warmupSlotWorkMicros = workMicros + (slot == upstream.warmupSlot ? upstream.warmupSlotWorkMicros : 0);
@@ -81,7 +89,7 @@
                 / (context.settings.rules().overloadWindowMicros() / 2);
     }
 
-    /** A hash that spreads neighbouring numbers; the same at every sidecar. */
+    /** Returns a hash that spreads neighbouring numbers and is the same at every sidecar. */
     static int hash(int value, int salt) {
         int mixed = (value ^ salt * 0x9e3779b9) * 0x85ebca6b;
         mixed = (mixed ^ mixed >>> 15) * 0xc2b2ae35;
--- a/src/main/java/loadbalancer/balancing/SubsetSelection.java
+++ b/src/main/java/loadbalancer/balancing/SubsetSelection.java
@@ -6,22 +6,23 @@
 import java.util.Map;
 
 /**
- * The upstreams that this sidecar sends to, by zone: all that are ready; a subset that gossip is shared about; or,
- * where connections cost, of each machine type in each zone an arc of an order that all sidecars share, from a
- * point that depends on the sidecar's index.
+ * Selects the upstreams that this sidecar sends to. These are all ready upstreams, or the subset about which
+ * sidecars gossip. Where connections have a price, they are an arc of each machine type in each zone:
+ * consecutive upstreams in an order that all sidecars share, from a start that depends on the sidecar's
+ * index.
  */
 final class SubsetSelection {
-    /** Least upstreams in a subset: two to draw and one in reserve. */
+    /** Smallest size of a subset: two upstreams to draw and one in reserve. */
     private static final int MIN_SUBSET_SIZE = 3;
-    /** Part of the last subset's size that remains at the next selection. */
+    /** Smallest size of the next subset as a fraction of the current one, so that subsets shrink slowly. */
     private static final double SHRINK_FACTOR = 0.9;
-    /** Points at the golden ratio's distance spread evenly over any circle. */
+    /** Multiples of the golden ratio modulo 1 are evenly distributed: they spread the starts of the arcs. */
     private static final double GOLDEN_RATIO = 0.6180339887498949;
-    /** Reciprocal of the plastic number: spreads the rounding of arcs evenly, apart from their starts. */
+    /** Reciprocal of the plastic number: spreads the rounding of arc sizes independently of their starts. */
     private static final double PLASTIC_RATIO = 0.7548776662466927;
 
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Price of crossing zones from which the own zone is preferred. */
+    /** Lowest price of crossing zones at which the local zone is preferred. */
     private static final double MIN_CROSS_ZONE_PRICE = 0.02;
 
     private static final double MIN_RATE = 1e-9;
@@ -45,17 +46,19 @@
         slowStart = estimators.slowStart();
     }
 
-    /** Whether requests should stay in the own zone for the price of crossing. */
+    /** Returns whether crossing zones is so expensive that requests should stay in the local zone. */
     boolean prefersLocalZone() {
         return context.settings.prices().crossZone() >= MIN_CROSS_ZONE_PRICE;
     }
 
-    /** The part of the own requests that stays in the own zone, by the last selection. */
+    /**
+     * Returns the share of this sidecar's requests that stays in the local zone, as of the last selection.
+     */
     double localZoneShare() {
         return zoneShares[context.localZone];
     }
 
-    /** Selects anew from the ready upstreams. */
+    /** Selects the subset from the ready upstreams and updates the zone shares. */
     List<TrackedUpstream> select(long nowMicros) {
         zoneShares = zoneShares(nowMicros);
         if (context.connectionSubset) {
@@ -65,17 +68,19 @@
     }
 
     /**
-     * As many upstreams as the own part of the fleet's rate asks for, in each zone and machine type in proportion.
+     * Selects a number of upstreams in proportion to this sidecar's share of the fleet's request rate,
+     * divided among zones by the zone shares and among machine types by their number of upstreams.
      */
     private List<TrackedUpstream> connectionSubset() {
         List<TrackedUpstream> ready = directory.ready();
         double rate = arrivals.requestsPerSecond();
-        double arc =
+        double proportionalSize =
                 BalancerContext.SIDECARS_PER_UPSTREAM * ready.size() * rate / Math.max(MIN_RATE, gossip.fleetRate());
-        targetSize = Math.max(Math.max(MIN_SUBSET_SIZE, arc), SHRINK_FACTOR * targetSize);
-        // Where idle connections are dropped, no more upstreams than are used twice within the limit.
-        double frequentlyUsed = connections.isLimited()
-                ? Math.max(1, rate * connections.limitMicros() / (2 * MICROS_PER_SECOND))
+        targetSize = Math.max(Math.max(MIN_SUBSET_SIZE, proportionalSize), SHRINK_FACTOR * targetSize);
+        // Where idle connections are dropped, use only as many upstreams as get two requests each within the
+        // limit.
+        double maxSize = connections.hasIdleLimit()
+                ? Math.max(1, rate * connections.idleLimitMicros() / (2 * MICROS_PER_SECOND))
                 : targetSize;
         Map<List<Object>, List<TrackedUpstream>> byZoneAndType = new LinkedHashMap<>();
         int[] zoneSizes = new int[gossip.zoneCount()];
@@ -87,16 +92,17 @@
         List<TrackedUpstream> subset = new ArrayList<>();
         for (List<TrackedUpstream> members : byZoneAndType.values()) {
             int zone = members.get(0).zoneIndex;
-            double share = zoneShares[zone] * Math.min(frequentlyUsed, targetSize) * members.size() / zoneSizes[zone];
-            addArc(subset, members, zone, share);
+            double targetArcSize = zoneShares[zone] * Math.min(maxSize, targetSize) * members.size() / zoneSizes[zone];
+            addArc(subset, members, zone, targetArcSize);
         }
         return subset;
     }
 
-    private void addArc(List<TrackedUpstream> subset, List<TrackedUpstream> members, int zone, double share) {
+    private void addArc(List<TrackedUpstream> subset, List<TrackedUpstream> members, int zone, double targetArcSize) {
         int sidecarIndex = context.settings.sidecarIndex();
-        // Fractions of an upstream are rounded so that they come out right over many sidecars.
-        double rounded = Math.floor(share + sidecarIndex * PLASTIC_RATIO % 1);
+        // Rounds up for some sidecar indexes and down for others, so that the mean over many sidecars is
+        // right.
+        double rounded = Math.floor(targetArcSize + sidecarIndex * PLASTIC_RATIO % 1);
         double arcSize = Math.max(zone == context.localZone ? 1 : 0, rounded);
         int start = (int) (sidecarIndex * GOLDEN_RATIO % 1 * members.size());
         for (int i = 0; i < Math.min(arcSize, members.size()); i++) {
@@ -104,13 +110,17 @@
         }
     }
 
-    /** Warming upstreams are every sidecar's by turns; in place of an ejected one comes the next in order. */
+    /**
+     * Selects the first upstreams in order that are not ejected, and all upstreams in slow start, to which
+     * the sidecars send in turns. Selects all ready upstreams if every upstream that has finished its slow
+     * start is ejected.
+     */
     private List<TrackedUpstream> peerSubset(long nowMicros) {
         int remaining = context.peerLoad.subsetSize();
         List<TrackedUpstream> subset = new ArrayList<>();
         for (TrackedUpstream upstream : directory.ready()) {
-            boolean warming = slowStart.warmupFactor(upstream, nowMicros) < 1;
-            if (warming || !OutlierDetector.isEjected(upstream, nowMicros) && remaining-- > 0) {
+            boolean slowStarting = slowStart.warmupFactor(upstream, nowMicros) < 1;
+            if (slowStarting || !OutlierDetector.isEjected(upstream, nowMicros) && remaining-- > 0) {
                 subset.add(upstream);
             }
         }
@@ -118,8 +128,9 @@
     }
 
     /**
-     * Parts of the own requests by zone: in proportion to upstreams, or the own zone first where crossing has a
-     * price.
+     * Returns the share of this sidecar's requests for each zone: in proportion to the zone's upstreams, or
+     * as much as possible for the local zone if that zone is preferred and the loads of upstreams are
+     * unknown.
      */
     private double[] zoneShares(long nowMicros) {
         double[] shares = new double[gossip.zoneCount()];
@@ -131,18 +142,19 @@
             return shares;
         }
         int localZone = context.localZone;
-        double total = gossip.freshTotalRate(nowMicros);
-        double localShare = total <= 0
+        double meanRate = gossip.freshMeanRate(nowMicros);
+        double localShare = meanRate <= 0
                 ? 1
-                : Math.min(1, shares[localZone] * total / Math.max(MIN_RATE, gossip.zoneRate(localZone)));
-        double gaps = 0;
+                : Math.min(1, shares[localZone] * meanRate / Math.max(MIN_RATE, gossip.zoneRate(localZone)));
+        double spareShares = 0;
         for (int zone = 0; zone < shares.length; zone++) {
-            shares[zone] =
-                    zone == localZone || total <= 0 ? 0 : Math.max(0, shares[zone] - gossip.zoneRate(zone) / total);
-            gaps += shares[zone];
+            shares[zone] = zone == localZone || meanRate <= 0
+                    ? 0
+                    : Math.max(0, shares[zone] - gossip.zoneRate(zone) / meanRate);
+            spareShares += shares[zone];
         }
         for (int zone = 0; zone < shares.length; zone++) {
-            shares[zone] *= (1 - localShare) / Math.max(MIN_RATE, gaps);
+            shares[zone] *= (1 - localShare) / Math.max(MIN_RATE, spareShares);
         }
         shares[localZone] = localShare;
         return shares;
--- a/src/main/java/loadbalancer/balancing/TrackedAttempt.java
+++ b/src/main/java/loadbalancer/balancing/TrackedAttempt.java
@@ -7,25 +7,25 @@
 final class TrackedAttempt {
     final TrackedRequest request;
     final TrackedUpstream upstream;
-    /** The upstream's entry of the endpoint list at the send. */
+    /** The upstream's entry in the endpoint list at the time of the send. */
     final Upstream endpointAtSend;
     /** Time of the send, microseconds. */
     final long sentMicros;
-    /** Requests that the upstream was thought to hold at the send. */
+    /** Estimated number of requests that the upstream held at the time of the send. */
     final double loadAtSend;
     /** Expected latency, microseconds. */
-    final double expectedMicros;
+    final double expectedLatencyMicros;
     /** Expected latency on an upstream of service-time factor 1, microseconds. */
-    final double baselineMicros;
-    /** Idle time of the connection before the send, microseconds; 0 where it was in use or new. */
+    final double baselineLatencyMicros;
+    /** Idle time of the connection before the send, microseconds; 0 if it was in use or new. */
     long idleMicros;
 
     boolean ended;
-    /** False once the outcome proves that the upstream never processed it. */
+    /** False once the outcome proves that the upstream has not processed it. */
     boolean mayHaveRun = true;
-    /** Its response is being streamed: it no longer counts as in flight, its load shows in load reports. */
+    /** The response has started as a stream: it no longer counts as in flight; load reports show its load. */
     boolean streamStarted;
-    /** The upstream does not hold it: a timeout will blame the connection alone. */
+    /** The upstream does not hold the request, so a timeout is attributed to the connection. */
     boolean lostOnConnection;
 
     TrackedAttempt(
@@ -33,17 +33,20 @@
             TrackedUpstream upstream,
             long sentMicros,
             double loadAtSend,
-            double expectedMicros) {
+            double expectedLatencyMicros) {
         this.request = request;
         this.upstream = upstream;
         endpointAtSend = upstream.endpoint;
         this.sentMicros = sentMicros;
         this.loadAtSend = loadAtSend;
-        this.expectedMicros = expectedMicros;
-        baselineMicros = expectedMicros / upstream.serviceTimeFactor();
+        this.expectedLatencyMicros = expectedLatencyMicros;
+        baselineLatencyMicros = expectedLatencyMicros / upstream.serviceTimeFactor();
     }
 
-    /** Its response has started as a stream: open for minutes it must not look like work that never ends. */
+    /**
+     * Marks the response as a started stream, so that one open for minutes does not count as a stalled
+     * request.
+     */
     void startStream() {
         request.responseStarted = true;
         if (!streamStarted && !ended && !request.arrival.streaming()) {
@@ -52,7 +55,7 @@
         streamStarted = true;
     }
 
-    /** Ends the attempt; its upstream has one in flight fewer. */
+    /** Ends the attempt and removes it from its upstream's requests in flight or open streams. */
     void end(long nowMicros, Outcome outcome) {
         ended = true;
         mayHaveRun = outcome.mayHaveRun;
--- a/src/main/java/loadbalancer/balancing/TrackedRequest.java
+++ b/src/main/java/loadbalancer/balancing/TrackedRequest.java
@@ -5,7 +5,7 @@
 import loadbalancer.balancing.Balancer.Request;
 import loadbalancer.balancing.Balancer.RequestClass;
 
-/** State of one request from its arrival to its final answer and the end of its last attempt. */
+/** State of one request, from its arrival to its final answer and the end of its last attempt. */
 final class TrackedRequest {
     /** The request as it arrived. */
     final Request arrival;
@@ -13,34 +13,42 @@
     final RequestClass requestClass;
     /** Expected work on a standard core, microseconds. */
     final double workMicros;
-    /** Attempts that it may have. */
+    /** Largest number of attempts. */
     final int maxAttempts;
 
     final List<TrackedAttempt> attempts = new ArrayList<>(1);
-    /** The client gives up then, microseconds. */
+    /** Time at which the client gives up, microseconds. */
     long deadlineMicros;
-    /** A later response has no value beyond that of a late one; microseconds. */
+    /**
+     * Time until which a response is useful, microseconds: the deadline, or the latency objective if late
+     * responses have no weight.
+     */
     long usefulUntilMicros;
-    /** Place in the queue: the latency objective, later for low priority weights; microseconds. */
+    /**
+     * Sort key in the queue, microseconds: the latency objective, later for low priorities and clients'
+     * retries.
+     */
     long queueOrderMicros;
-    /** Drawn from [0, 1): the lower, the sooner it leaves contended capacity to others. */
+    /**
+     * Random number in [0, 1); requests with low ones are the first to leave contended capacity to others.
+     */
     double contentionDraw;
 
     boolean queued;
     boolean finished;
-    /** Its response is being streamed: no other attempt can replace it. */
+    /** The response has started as a stream, so no other attempt can replace it. */
     boolean responseStarted;
-    /** First of the sampled pair; null while no pair is being sampled. */
+    /** First upstream of the pair being sampled; null if there is none. */
     TrackedUpstream firstCandidate;
-    /** Second of the sampled pair; null where only one upstream had capacity. */
+    /** Second upstream of the pair being sampled; null if only one upstream had capacity. */
     TrackedUpstream secondCandidate;
-    /** Time at which the pair was asked for its load, microseconds. */
+    /** Time at which the pair was drawn and its health checks were sent, microseconds. */
     long pairSampledMicros;
-    /** Earliest time for another pair, microseconds. */
+    /** Earliest time at which another pair may be drawn, microseconds. */
     long nextPairMicros;
 
     int pairsSampled;
-    /** Time at which its attempt's upstream was health-checked before a hedge, microseconds. */
+    /** Time at which the upstream of the overdue attempt was last health-checked, microseconds. */
     long hedgeCheckMicros;
 
     TrackedRequest(Request arrival, RequestClass requestClass, double workMicros, int maxAttempts) {
@@ -50,12 +58,12 @@
         this.maxAttempts = maxAttempts;
     }
 
-    /** The attempt of this number, from 0 in the order of the sends; null for none. */
+    /** Returns the attempt with this number, counted from 0 in the order of the sends, or null. */
     TrackedAttempt attempt(int number) {
         return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
     }
 
-    /** Whether no attempt is in flight. */
+    /** Returns whether no attempt is in flight. */
     boolean allAttemptsEnded() {
         for (TrackedAttempt attempt : attempts) {
             if (!attempt.ended) {
--- a/src/main/java/loadbalancer/balancing/TrackedUpstream.java
+++ b/src/main/java/loadbalancer/balancing/TrackedUpstream.java
@@ -5,39 +5,39 @@
 import java.util.Map;
 import loadbalancer.balancing.Balancer.Upstream;
 
-/** State of one upstream from its first listing until it is removed and its last attempt has ended. */
+/** State of one upstream, from its first listing until it is removed and its last attempt has ended. */
 final class TrackedUpstream {
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     final String id;
     final MachineType machineType;
-    /** Position in the order of upstreams that all sidecars share. */
+    /** Sort key of the order of upstreams that all sidecars share. */
     final int subsetOrder;
-    /** Index of its zone in the settings; 0 for a zone that they do not name. */
+    /** Index of its zone in the settings; 0 if they do not list the zone. */
     final int zoneIndex;
     /** Latest entry of the endpoint list. */
     Upstream endpoint;
 
     boolean ready;
-    /** No longer listed: kept until its last attempts end. */
+    /** Whether it is no longer listed; it is kept until its last attempts have ended. */
     boolean removed;
-    /** Weight in the draw: p_i / k_i of Eq. (4) times the constraints' weight and the peers' trust. */
+    /** Weight in the draw: p_i / k_i of Eq. (4) times the constraints' weight and the peers' trust factor. */
     double selectionWeight;
-    /** Own requests in flight, without streams. */
+    /** Requests of this sidecar in flight, without streams. */
     int inFlight;
-    /** Own streams, from send to end. */
+    /** Open streams of this sidecar, from send to end. */
     int openStreams;
-    /** Open streams when it last rejected one more. */
+    /** Number of open streams when it last rejected another one. */
     int streamCapacity;
     /** Time of that rejection, microseconds. */
     long streamsExhaustedMicros = NEVER_MICROS;
-    /** Own attempts in the order of their sends; ended ones are removed lazily. */
+    /** Attempts of this sidecar in the order of their sends; ended ones are removed lazily. */
     final ArrayDeque<TrackedAttempt> attempts = new ArrayDeque<>();
-    /** How much slower than its machine type. */
+    /** Service-time factor relative to that of its machine type; above 1 if it is slower. */
     double deviationFactor = 1;
     /** Time of its last response, microseconds. */
     long lastResponseMicros;
-    /** Own attempts that it does not hold according to its last load report. */
+    /** Attempts of this sidecar that it does not hold according to its last load report. */
     int lostAttempts;
     /** Requests of other sidecars that it held at its last load report. */
     double peerInFlight;
@@ -47,19 +47,19 @@
     int failureScore;
     /** Ejections since the last success. */
     int consecutiveEjections;
-    /** By name of the class, from its first timeout to its next response. */
+    /** Timeouts by class name; an entry exists from a class's first timeout to its next response. */
     final Map<String, ClassTimeouts> timeoutsByClass = new HashMap<>(2);
     /** End of the ejection, microseconds. */
     long ejectedUntilMicros;
-    /** Time of the last send or outcome, microseconds; 0 if no connection was used yet. */
+    /** Time of the last send or outcome, microseconds; 0 if no connection has been used yet. */
     long lastUsedMicros;
-    /** Time of the health check without an answer yet, microseconds; 0 for none. */
+    /** Send time of the health check in flight, microseconds; 0 if there is none. */
     long healthCheckSentMicros;
-    /** Time at which a health check for an overdue attempt stayed unanswered, microseconds. */
+    /** Time at which a health check for an overdue attempt was found to be unanswered, microseconds. */
     long unresponsiveSinceMicros = NEVER_MICROS;
     /** Last slot of the slow-start budget in which a request was sent. */
     long warmupSlot;
-    /** Own work sent in that slot, microseconds. */
+    /** Work that this sidecar sent in that slot, microseconds. */
     double warmupSlotWorkMicros;
 
     TrackedUpstream(Upstream endpoint, MachineType machineType, int zoneIndex, int subsetOrder) {
@@ -70,13 +70,13 @@
         this.endpoint = endpoint;
     }
 
-    /** Time on this upstream of work that takes one unit of time on a standard core. */
+    /** Returns the time that this upstream takes for work that takes one unit of time on a standard core. */
     double serviceTimeFactor() {
         return machineType.serviceTimeFactor * deviationFactor;
     }
 
-    /** Forgets what the process before its restart has done. */
-    void forgetIncarnation() {
+    /** Resets what was learned about the previous incarnation of the process. */
+    void resetIncarnation() {
         deviationFactor = 1;
         failureScore = 0;
         consecutiveEjections = 0;
--- a/src/main/java/loadbalancer/balancing/TwoChoices.java
+++ b/src/main/java/loadbalancer/balancing/TwoChoices.java
@@ -1,13 +1,13 @@
 package loadbalancer.balancing;
 
-/** Power of two choices: draws two upstreams by their weights and takes the less busy one. */
+/** Power of two choices: draws two upstreams by their weights and picks the less busy one. */
 final class TwoChoices {
-    /** Random draws for an upstream with capacity before all of them are scanned. */
-    private static final int MAX_SAMPLES_BEFORE_SCAN = 4;
-    /** Loads per core that differ by less are equal; sampled ones are whole numbers. */
-    private static final double SAMPLED_TIE = 0.5;
-
-    private static final double ESTIMATED_TIE = 1e-9;
+    /** Number of random draws for an upstream with capacity before all upstreams are scanned. */
+    private static final int MAX_DRAWS_BEFORE_SCAN = 4;
+    /** Difference up to which sampled loads per core count as equal; sampled loads are whole numbers. */
+    private static final double SAMPLED_TIE_TOLERANCE = 0.5;
+    /** Difference up to which estimated loads per core count as equal. */
+    private static final double ESTIMATED_TIE_TOLERANCE = 1e-9;
 
     private final BalancerContext context;
     private final LoadEstimator loads;
@@ -19,7 +19,7 @@
         this.capacity = capacity;
     }
 
-    /** The less busy of two upstreams with capacity; null where there is none. {@code excluded} may be null. */
+    /** Returns the less busy of two drawn upstreams with capacity, or null; {@code excluded} may be null. */
     TrackedUpstream pick(
             long nowMicros,
             TrackedRequest request,
@@ -31,14 +31,17 @@
         return second == null || second == excluded ? first : lessBusy(nowMicros, request, first, second);
     }
 
-    /** An upstream with capacity by its weight: a few draws, then a scan. Null where there is none. */
+    /**
+     * Draws an upstream with capacity by weight: makes a few random draws, then scans. Returns null if none
+     * has any.
+     */
     TrackedUpstream draw(
             long nowMicros,
             TrackedRequest request,
             WeightedSampler sampler,
             boolean freeCore,
             TrackedUpstream excluded) {
-        for (int i = 0; i < MAX_SAMPLES_BEFORE_SCAN && sampler.size() > 0; i++) {
+        for (int i = 0; i < MAX_DRAWS_BEFORE_SCAN && sampler.size() > 0; i++) {
             TrackedUpstream upstream = sampler.sample(context.random.nextDouble());
             if (upstream != excluded && capacity.hasCapacity(nowMicros, request, upstream, freeCore)) {
                 return upstream;
@@ -47,7 +50,7 @@
         return capacity.skipsScan(request) ? null : scan(nowMicros, request, sampler, freeCore, excluded);
     }
 
-    /** A weighted draw among all with capacity, in one pass. */
+    /** Draws by weight among all upstreams with capacity, in one pass. */
     private TrackedUpstream scan(
             long nowMicros,
             TrackedRequest request,
@@ -66,14 +69,18 @@
         return chosen;
     }
 
-    /** The one with the lower load per core, for a stream the fewer streams per core; ties go by weight. */
+    /**
+     * Returns the upstream with the lower load per core, or for a stream the one with fewer streams per core.
+     * Ties are broken at random by weight.
+     */
     TrackedUpstream lessBusy(long nowMicros, TrackedRequest request, TrackedUpstream first, TrackedUpstream second) {
         boolean streaming = request.arrival.streaming();
         double difference = streaming
                 ? first.openStreams / first.machineType.cores - second.openStreams / second.machineType.cores
                 : loads.load(first, nowMicros) / first.machineType.cores
                         - loads.load(second, nowMicros) / second.machineType.cores;
-        if (Math.abs(difference) > (context.samplesLoad && !streaming ? SAMPLED_TIE : ESTIMATED_TIE)) {
+        if (Math.abs(difference)
+                > (context.samplesLoad && !streaming ? SAMPLED_TIE_TOLERANCE : ESTIMATED_TIE_TOLERANCE)) {
             return difference < 0 ? first : second;
         }
         double weights = first.selectionWeight + second.selectionWeight;
--- a/src/main/java/loadbalancer/balancing/UpstreamDirectory.java
+++ b/src/main/java/loadbalancer/balancing/UpstreamDirectory.java
@@ -12,16 +12,18 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 
 /**
- * The upstreams of the endpoint list with what is known of them, by id and machine type, and those that are ready.
+ * The upstreams of the endpoint list with their tracked state, their machine types, and the ready upstreams.
  */
 final class UpstreamDirectory {
     private final BalancerContext context;
     private final ConnectionReuse connections;
     private final Map<String, TrackedUpstream> upstreams = new LinkedHashMap<>();
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
-    /** With a subset in the order that all sidecars share. */
+    /** In the order of subset selection, which all sidecars share. */
     private final List<TrackedUpstream> ready = new ArrayList<>();
-    /** The sidecar keeps to a subset about which all that share it gossip. */
+    /**
+     * Whether this sidecar sends only to a subset, about which it gossips with the sidecars that share it.
+     */
     private boolean peerSubset;
 
     UpstreamDirectory(BalancerContext context, ConnectionReuse connections) {
@@ -32,7 +34,7 @@
         }
     }
 
-    /** Takes in an endpoint list: all there is, or what has changed. */
+    /** Applies an endpoint list, either the complete list or the changed entries. */
     void apply(EndpointListKind listKind, List<Upstream> entries) {
         Set<String> listedIds = new HashSet<>();
         for (Upstream listed : entries) {
@@ -46,7 +48,7 @@
                 connections.closeIfDraining(upstream);
             }
         }
-        upstreams.values().removeIf(UpstreamDirectory::isForgettable);
+        upstreams.values().removeIf(UpstreamDirectory::canForget);
         collectReady();
     }
 
@@ -60,7 +62,7 @@
                     listed, machineType, zoneIndex, SlowStart.hash(listed.id().hashCode(), 0));
             upstreams.put(listed.id(), upstream);
         } else if (listed.startedMicros() != upstream.endpoint.startedMicros()) {
-            upstream.forgetIncarnation();
+            upstream.resetIncarnation();
         }
         upstream.endpoint = listed;
         upstream.ready = listed.state() == UpstreamState.READY;
@@ -84,19 +86,22 @@
         peerSubset = context.peerLoad.subsetSize() < ready.size();
     }
 
-    /** Ids are ever new where upstreams are replaced: a removed one is kept for its last attempts alone. */
-    private static boolean isForgettable(TrackedUpstream upstream) {
+    /**
+     * Returns whether a removed upstream has no attempts in flight and can be forgotten. Replaced upstreams
+     * get new ids, so keeping all of them would leak memory.
+     */
+    private static boolean canForget(TrackedUpstream upstream) {
         return upstream.removed && upstream.inFlight == 0;
     }
 
-    /** Forgets a removed upstream after its last attempt. */
+    /** Forgets the upstream if it is removed and its last attempt has ended. */
     void forgetIfDone(TrackedUpstream upstream) {
-        if (isForgettable(upstream)) {
+        if (canForget(upstream)) {
             upstreams.remove(upstream.id, upstream);
         }
     }
 
-    /** The upstream of this id, or null. */
+    /** Returns the upstream with this id, or null. */
     TrackedUpstream find(String id) {
         return upstreams.get(id);
     }
@@ -105,17 +110,20 @@
         return upstreams.size();
     }
 
-    /** Kinds by name, those of the settings first. */
+    /** Returns the machine types by name, those of the settings first. */
     Map<String, MachineType> machineTypes() {
         return machineTypes;
     }
 
-    /** The ready upstreams; with a subset in the order that all sidecars share. */
+    /** Returns the ready upstreams in the order of subset selection, which all sidecars share. */
     List<TrackedUpstream> ready() {
         return ready;
     }
 
-    /** Whether the sidecar keeps to a subset about which all that share it gossip. */
+    /**
+     * Returns whether this sidecar sends only to a subset, about which it gossips with the sidecars that
+     * share it.
+     */
     boolean hasPeerSubset() {
         return peerSubset;
     }
--- a/src/main/java/loadbalancer/balancing/UpstreamPicker.java
+++ b/src/main/java/loadbalancer/balancing/UpstreamPicker.java
@@ -25,25 +25,28 @@
     }
 
     /**
-     * The less busy of two upstreams drawn by p_i / k_i among those with capacity; null where the request has to
-     * wait. A warming upstream whose turn it is comes first. Where crossing zones has a price, so does the own
-     * zone, or what a crowded zone gives away; then any free core, then any capacity.
+     * Returns the less busy of two upstreams drawn by p_i / k_i among those with capacity, or null if the
+     * request has to wait. Upstreams in slow start whose budget is this sidecar's turn come first. Where
+     * crossing zones has a price, the local zone is tried next, or the other zones for the share of requests
+     * that an overloaded local zone sends there; then any upstream with a free core, then any with capacity.
      */
     TrackedUpstream pick(long nowMicros, TrackedRequest request) {
         split.refresh(nowMicros);
         if (request.arrival.streaming()) {
             return choices.pick(nowMicros, request, split.allZones(), false, null);
         }
-        TrackedUpstream warming = firstWarming(nowMicros, request);
+        TrackedUpstream slowStarting = firstSlowStarting(nowMicros, request);
         if (context.samplesLoad) {
-            return sampling.pick(nowMicros, request, split.allZones(), warming);
+            return sampling.pick(nowMicros, request, split.allZones(), slowStarting);
         }
-        return warming != null ? warming : pickByZone(nowMicros, request);
+        return slowStarting != null ? slowStarting : pickByZone(nowMicros, request);
     }
 
-    /** The first warming upstream with a turn for this sidecar, or null. */
-    private TrackedUpstream firstWarming(long nowMicros, TrackedRequest request) {
-        for (TrackedUpstream upstream : split.warming()) {
+    /**
+     * Returns the first upstream in slow start with a free core and budget left for this sidecar, or null.
+     */
+    private TrackedUpstream firstSlowStarting(long nowMicros, TrackedRequest request) {
+        for (TrackedUpstream upstream : split.slowStarting()) {
             if (capacity.hasCapacity(nowMicros, request, upstream, true)) {
                 return upstream;
             }
@@ -52,10 +55,10 @@
     }
 
     private TrackedUpstream pickByZone(long nowMicros, TrackedRequest request) {
-        boolean stay = !context.loadUnknown
+        boolean stayLocal = !context.loadUnknown
                 || split.otherZones().size() == 0
                 || context.random.nextDouble() < subsets.localZoneShare();
-        WeightedSampler zone = stay ? split.localZone() : split.otherZones();
+        WeightedSampler zone = stayLocal ? split.localZone() : split.otherZones();
         TrackedUpstream upstream = choices.pick(nowMicros, request, zone, false, null);
         if (upstream == null) {
             upstream = choices.pick(nowMicros, request, split.allZones(), true, null);
@@ -63,7 +66,10 @@
         return upstream != null ? upstream : choices.pick(nowMicros, request, split.allZones(), false, null);
     }
 
-    /** Another upstream with a free core for a hedged request; null where there is none. */
+    /**
+     * Returns an upstream with a free core other than {@code first} for a hedged request; null if there is
+     * none.
+     */
     TrackedUpstream pickForHedge(long nowMicros, TrackedRequest request, TrackedUpstream first) {
         return choices.pick(nowMicros, request, split.allZones(), true, first);
     }
--- a/src/main/java/loadbalancer/balancing/WeightedSampler.java
+++ b/src/main/java/loadbalancer/balancing/WeightedSampler.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Upstreams with their cumulative selection weights: one draw is one binary search. */
+/** Samples upstreams by their selection weights, with a binary search over the cumulative weights. */
 final class WeightedSampler {
     private static final int INITIAL_CAPACITY = 16;
 
@@ -15,7 +15,7 @@
         upstreams.clear();
     }
 
-    /** Adds the upstream with its present selection weight. */
+    /** Adds the upstream with its current selection weight. */
     void add(TrackedUpstream upstream) {
         int size = upstreams.size();
         if (size == cumulativeWeights.length) {
@@ -33,7 +33,9 @@
         return upstreams.get(index);
     }
 
-    /** The upstream at the position, from [0, 1), of the summed weights; there must be one. */
+    /**
+     * Returns the upstream at a position in [0, 1) of the cumulative weights; the sampler must not be empty.
+     */
     TrackedUpstream sample(double position) {
         int size = upstreams.size();
         int found = Arrays.binarySearch(cumulativeWeights, 0, size, position * cumulativeWeights[size - 1]);
