--- a/src/test/java/loadbalancer/ClosedPort.java
+++ b/src/test/java/loadbalancer/ClosedPort.java
@@ -14,7 +14,7 @@
     private ClosedPort() {}
 
     /** One that was free, or {@code wanted} where that is not 0. */
-    public static InetSocketAddress hold(int wanted) throws IOException {
+    public static InetSocketAddress reserve(int wanted) throws IOException {
         Socket socket = new Socket();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), wanted));
--- a/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
@@ -181,7 +181,7 @@
     @Test
     void connectionsThatFailFreeTheirPlace() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""))) {
-            String gone = "127.0.0.1:" + ClosedPort.hold(0).getPort();
+            String gone = "127.0.0.1:" + ClosedPort.reserve(0).getPort();
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> update(
                     upstreams,
--- a/src/test/java/loadbalancer/testbed/StartTest.java
+++ b/src/test/java/loadbalancer/testbed/StartTest.java
@@ -54,7 +54,7 @@
     }
 
     private static String nobodysAddress() throws Exception {
-        return "127.0.0.1:" + ClosedPort.hold(0).getPort();
+        return "127.0.0.1:" + ClosedPort.reserve(0).getPort();
     }
 
     private static void kept(Testbed.Verdict verdict) {
