--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -19,14 +19,14 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What must hold of the packages whatever is built next. */
+/** Checks the dependencies between packages. */
 class ArchitectureTest {
-    private static final JavaClasses PROGRAM = new ClassFileImporter()
+    private static final JavaClasses PRODUCTION_CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("loadbalancer");
 
-    /** Packages that decide: no I/O, no threads, time as a parameter. */
-    private static final String[] PURE = {
+    /** Packages without I/O and threads, which take the time as a parameter. */
+    private static final String[] PURE_PACKAGES = {
         "loadbalancer.balancing",
         "loadbalancer.membership",
         "loadbalancer.grpc.mapping",
@@ -40,7 +40,7 @@
         "loadbalancer.metrics"
     };
 
-    private static final String[] DECISIONS = {
+    private static final String[] DECISION_PACKAGES = {
         "loadbalancer.balancing",
         "loadbalancer.settings",
         "loadbalancer.membership",
@@ -54,7 +54,7 @@
         "loadbalancer.grpc.mapping"
     };
 
-    private static final String[] EDGES = {
+    private static final String[] EDGE_PACKAGES = {
         "loadbalancer.http1",
         "loadbalancer.grpc",
         "loadbalancer.membership.discovery",
@@ -65,7 +65,7 @@
         "loadbalancer.trace.export"
     };
 
-    private static final String[] TOOLS = {
+    private static final String[] TOOL_PACKAGES = {
         "loadbalancer.simulation..",
         "loadbalancer.testbed..",
         "loadbalancer.capacity",
@@ -76,9 +76,9 @@
     };
 
     @Test
-    void whatDecidesDoesNoInputOrOutput() {
+    void purePackagesDoNoInputOrOutput() {
         noClasses()
-                .that(resideInAnyPackage(PURE))
+                .that(resideInAnyPackage(PURE_PACKAGES))
                 .should()
                 .dependOnClassesThat(resideInAnyPackage(
                         "io.netty..",
@@ -88,23 +88,23 @@
                         "java.nio.file..",
                         "java.util.concurrent..",
                         "java.time.."))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
-    void whatDecidesHasNoThreadsAndNoClock() {
+    void purePackagesUseNoThreadsAndNoClock() {
         noClasses()
-                .that(resideInAnyPackage(PURE))
+                .that(resideInAnyPackage(PURE_PACKAGES))
                 .should()
                 .dependOnClassesThat(simpleName("Thread"))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
         noClasses()
-                .that(resideInAnyPackage(PURE))
+                .that(resideInAnyPackage(PURE_PACKAGES))
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .callMethod(System.class, "nanoTime")
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
         classes()
                 .that(simpleName("Referee").or(simpleName("UpstreamModel")))
                 .should()
@@ -115,37 +115,40 @@
                         "java.util.stream",
                         "loadbalancer.balancing",
                         "loadbalancer.testbed"))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
     void packagesHaveNoCycles() {
-        slices().matching("loadbalancer.(**)").should().beFreeOfCycles().check(PROGRAM);
-        // The decision module is at the bottom: it may know none of the others.
+        slices().matching("loadbalancer.(**)").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
+        // The decision module depends on no other package of the program.
         noClasses()
                 .that(resideInAPackage("loadbalancer.balancing"))
                 .should()
                 .dependOnClassesThat(resideInAPackage("loadbalancer..").and(resideOutside("loadbalancer.balancing")))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** The layers of docs/ARCHITECTURE.md: a package imports its own layer and those above it in the page's table. */
+    /**
+     * The layers of docs/ARCHITECTURE.md: a package may import its own layer and those above it in the table
+     * there.
+     */
     @Test
-    void packagesImportNoLowerLayer() {
+    void packagesImportNoLayerBelowTheirOwn() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("loadbalancer..")
                 .layer("formats")
                 .definedBy("loadbalancer.json", "loadbalancer.toml", "loadbalancer.storage")
                 .layer("decisions")
-                .definedBy(DECISIONS)
+                .definedBy(DECISION_PACKAGES)
                 .layer("core")
                 .definedBy("loadbalancer.core")
                 .layer("edges")
-                .definedBy(EDGES)
+                .definedBy(EDGE_PACKAGES)
                 .layer("processes")
                 .definedBy("loadbalancer.sidecar", "loadbalancer.control.server", "loadbalancer.wire")
                 .layer("tools")
-                .definedBy(TOOLS)
+                .definedBy(TOOL_PACKAGES)
                 .whereLayer("formats")
                 .mayNotAccessAnyLayer()
                 .whereLayer("decisions")
@@ -157,22 +160,22 @@
                 .whereLayer("processes")
                 .mayOnlyAccessLayers("formats", "decisions", "core", "edges")
                 .ensureAllClassesAreContainedInArchitecture()
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** What serves must not even be able to load the stage. */
+    /** Classes that serve requests must not reach the testbed, the simulation or the capacity tools. */
     @Test
-    void servingNeverReachesTheStage() {
+    void sidecarReachesNoTestbedOrSimulation() {
         Set<JavaClass> reached = new HashSet<>();
-        reach(PROGRAM.get("loadbalancer.sidecar.SidecarMain"), reached);
-        reach(PROGRAM.get("loadbalancer.sidecar.Sidecar"), reached);
+        collectReached(PRODUCTION_CLASSES.get("loadbalancer.sidecar.SidecarMain"), reached);
+        collectReached(PRODUCTION_CLASSES.get("loadbalancer.sidecar.Sidecar"), reached);
         assertEquals(
                 Set.of(),
                 reached.stream()
                         .map(JavaClass::getPackageName)
-                        .filter(p -> p.startsWith("loadbalancer.testbed")
-                                || p.startsWith("loadbalancer.simulation")
-                                || p.startsWith("loadbalancer.capacity"))
+                        .filter(name -> name.startsWith("loadbalancer.testbed")
+                                || name.startsWith("loadbalancer.simulation")
+                                || name.startsWith("loadbalancer.capacity"))
                         .collect(Collectors.toSet()));
         noClasses()
                 .that(resideOutside(
@@ -183,52 +186,56 @@
                         "loadbalancer.simulation"))
                 .should()
                 .dependOnClassesThat(resideInAPackage("loadbalancer.testbed.."))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** The second protocol meets the first in the core: that one knows neither. */
+    /** HTTP/1.1 and gRPC share the core, which must depend on neither protocol. */
     @Test
-    void theCoreKnowsNoProtocol() {
+    void coreDependsOnNoProtocol() {
         noClasses()
                 .that(resideInAPackage("loadbalancer.core"))
                 .should()
                 .dependOnClassesThat(resideInAnyPackage("io.netty.handler..", "loadbalancer.http1.."))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** One place reaches the exporter's library, so that a sidecar without traces loads none of it. */
+    /**
+     * Optional libraries are used only in the packages made for them, so that a sidecar without traces loads
+     * nothing of the exporter.
+     */
     @Test
-    void whatIsOffIsNotReached() {
+    void optionalLibrariesAreUsedOnlyInTheirOwnPackages() {
         noClasses()
                 .that(resideOutside("loadbalancer.trace.export"))
                 .should()
                 .dependOnClassesThat(resideInAPackage("io.opentelemetry.."))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that(resideOutside("loadbalancer.trace.export")
                         .and(DescribedPredicate.not(simpleName("TracingSetup"))))
                 .should()
                 .dependOnClassesThat(resideInAPackage("loadbalancer.trace.export"))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that(resideOutside("loadbalancer.cli", "loadbalancer.trace.read"))
                 .should()
                 .dependOnClassesThat(resideInAPackage("picocli.."))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that(DescribedPredicate.not(resideInAPackage("loadbalancer.simulation..")))
                 .should()
                 .dependOnClassesThat(resideInAnyPackage("org.apache.commons.rng..", "org.jfree..", "java.awt.."))
-                .check(PROGRAM);
+                .check(PRODUCTION_CLASSES);
     }
 
     private static DescribedPredicate<JavaClass> resideOutside(String... packages) {
         return DescribedPredicate.not(resideInAnyPackage(packages));
     }
 
-    private static void reach(JavaClass from, Set<JavaClass> reached) {
+    private static void collectReached(JavaClass from, Set<JavaClass> reached) {
         if (from.getPackageName().startsWith("loadbalancer") && reached.add(from)) {
-            from.getDirectDependenciesFromSelf().forEach(d -> reach(d.getTargetClass(), reached));
+            from.getDirectDependenciesFromSelf()
+                    .forEach(dependency -> collectReached(dependency.getTargetClass(), reached));
         }
     }
 }
--- a/src/test/java/loadbalancer/ClosedPort.java
+++ b/src/test/java/loadbalancer/ClosedPort.java
@@ -7,18 +7,21 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Addresses that refuse connections, and that nobody else is given meanwhile: bound, and not listening. */
+/**
+ * Provides addresses that refuse connections. The ports stay bound without listening, so no one else gets
+ * them.
+ */
 public final class ClosedPort {
-    private static final List<Socket> HELD = new CopyOnWriteArrayList<>();
+    private static final List<Socket> BOUND_SOCKETS = new CopyOnWriteArrayList<>();
 
     private ClosedPort() {}
 
-    /** One that was free, or {@code wanted} where that is not 0. */
-    public static InetSocketAddress reserve(int wanted) throws IOException {
+    /** Reserves a loopback address with the given port, or with a free port if {@code port} is 0. */
+    public static InetSocketAddress reserve(int port) throws IOException {
         Socket socket = new Socket();
         socket.setReuseAddress(true);
-        socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), wanted));
-        HELD.add(socket);
+        socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port));
+        BOUND_SOCKETS.add(socket);
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 }
--- a/src/test/java/loadbalancer/ModuleLimitsTest.java
+++ b/src/test/java/loadbalancer/ModuleLimitsTest.java
@@ -14,52 +14,59 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decision module is one package of narrow files, all of which the deploy file names. */
+/**
+ * Checks that the decision module is one package of short, narrow files that the deployment file lists
+ * completely.
+ */
 class ModuleLimitsTest {
     private static final Path MODULE = Path.of("src/main/java/loadbalancer/balancing");
 
-    /** The module's interfaces to others, which decide nothing. */
-    private static final Set<String> INTERFACES = Set.of(
+    /** Interfaces of the module to other packages, which contain no decisions. */
+    private static final Set<String> INTERFACE_FILES = Set.of(
             "Balancer.java", "RoutingConstraints.java", "PeerLoad.java", "OpenRequests.java", "package-info.java");
 
     private static final int MAX_COLUMNS = 120;
     private static final int MAX_LINES = 500;
 
-    private static List<Path> decidingFiles() throws IOException {
+    private static List<Path> decisionFiles() throws IOException {
         try (Stream<Path> files = Files.list(MODULE)) {
-            return files.filter(file -> !INTERFACES.contains(file.getFileName().toString()))
+            return files.filter(
+                            file -> !INTERFACE_FILES.contains(file.getFileName().toString()))
                     .sorted()
                     .toList();
         }
     }
 
     @Test
-    void filesStayShortAndNarrow() throws Exception {
-        long count = 0;
-        for (Path file : decidingFiles()) {
+    void filesAreShortAndNarrow() throws Exception {
+        long lineCount = 0;
+        for (Path file : decisionFiles()) {
             List<String> lines = Files.readAllLines(file);
-            assertTrue(lines.size() <= MAX_LINES, file + " has " + lines.size() + " lines");
+            assertTrue(
+                    lines.size() <= MAX_LINES,
+                    file + ": expected at most " + MAX_LINES + " lines, found " + lines.size());
             for (String line : lines) {
-                count += line.isBlank() ? 0 : 1;
-                assertTrue(line.length() <= MAX_COLUMNS, line);
+                lineCount += line.isBlank() ? 0 : 1;
+                assertTrue(
+                        line.length() <= MAX_COLUMNS, file + ": expected at most " + MAX_COLUMNS + " columns: " + line);
             }
         }
-        assertTrue(count > 100, count + " lines");
+        assertTrue(lineCount > 100, "expected more than 100 lines in the module, found " + lineCount);
     }
 
     @Test
-    void deployFileNamesTheWholeModule() throws Exception {
-        String policy = Files.readString(Path.of("deploy/balancer.toml"))
+    void deploymentFileListsTheWholeModule() throws Exception {
+        String policyLine = Files.readString(Path.of("deploy/balancer.toml"))
                 .lines()
                 .filter(line -> line.startsWith("policy"))
                 .findFirst()
                 .orElse("");
-        Set<String> named = Arrays.stream(policy.split("\""))
+        Set<String> listed = Arrays.stream(policyLine.split("\""))
                 .filter(part -> part.endsWith(".java"))
                 .collect(Collectors.toCollection(TreeSet::new));
-        Set<String> deciding = decidingFiles().stream()
+        Set<String> existing = decisionFiles().stream()
                 .map(file -> file.toString().replace('\\', '/'))
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(deciding, named);
+        assertEquals(existing, listed);
     }
 }
--- a/src/test/java/loadbalancer/balancing/AttemptRulesTest.java
+++ b/src/test/java/loadbalancer/balancing/AttemptRulesTest.java
@@ -3,8 +3,8 @@
 import static loadbalancer.balancing.RequestFixtures.protocolRequest;
 import static loadbalancer.balancing.UpstreamFixtures.A;
 import static loadbalancer.balancing.UpstreamFixtures.B;
-import static loadbalancer.balancing.UpstreamFixtures.speaking;
-import static loadbalancer.balancing.UpstreamFixtures.uncertain;
+import static loadbalancer.balancing.UpstreamFixtures.uncertainUpstream;
+import static loadbalancer.balancing.UpstreamFixtures.upstreamSpeaking;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -18,15 +18,15 @@
 import loadbalancer.balancing.Balancer.Uncertainty;
 import org.junit.jupiter.api.Test;
 
-/** What may be sent or rejected at all. */
+/** Tests which attempts and which rejections the rules allow. */
 class AttemptRulesTest {
     @Test
     void neitherRetriesNorRejectsANonIdempotentRequestThatMayHaveRun() {
         BalancerHarness harness = new BalancerHarness();
         harness.idempotency = Idempotency.NOT_IDEMPOTENT;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
 
-        harness.request("r").after(10_000);
+        harness.request("r").advance(10_000);
         harness.outcome("r", 0, harness.sentTo("r", 0), Outcome.ERROR, 10_000);
 
         assertEquals(1, harness.actionsStartingWith("send r").size());
@@ -38,9 +38,9 @@
     void retriesANonIdempotentRequestThatNeverRan() {
         BalancerHarness harness = new BalancerHarness();
         harness.idempotency = Idempotency.NOT_IDEMPOTENT;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
 
-        harness.request("r").after(10_000);
+        harness.request("r").advance(10_000);
         harness.outcome("r", 0, harness.sentTo("r", 0), Outcome.CONNECT_FAILED, 10_000);
 
         assertNotNull(harness.sentTo("r", 1));
@@ -48,20 +48,21 @@
     }
 
     @Test
-    void retriesWithAKeyOnlyInTheZoneThatDropsRepeats() {
+    void retriesWithIdempotencyKeyOnlyInTheSameZoneIfTheScopeIsAZone() {
         for (int seed = 0; seed < 20; seed++) {
             BalancerHarness harness = new BalancerHarness();
             harness.seed = seed;
             harness.idempotency = Idempotency.WITH_KEY;
             harness.idempotencyScope = IdempotencyScope.ZONE;
-            harness.start().list(A, B, BalancerHarness.upstream("c", "zb", 3));
+            harness.start().endpointList(A, B, BalancerHarness.upstream("c", "zb", 3));
 
-            harness.request("r").after(10_000);
+            harness.request("r").advance(10_000);
             String first = harness.sentTo("r", 0);
             harness.outcome("r", 0, first, Outcome.RESET, 10_000);
             String second = harness.sentTo("r", 1);
             if (second != null) {
-                assertEquals(first.equals("a"), second.equals("a"), first + " then " + second);
+                assertEquals(
+                        first.equals("a"), second.equals("a"), "first attempt at " + first + ", second at " + second);
             }
 
             assertTrue(harness.actionsStartingWith("reject").isEmpty());
@@ -69,39 +70,40 @@
     }
 
     @Test
-    void retriesWithAKeyOnlyInTheCellAndWithinTheWindow() {
+    void retriesWithIdempotencyKeyOnlyInTheSameCellAndWithinTheWindow() {
         BalancerHarness harness = new BalancerHarness();
         harness.idempotency = Idempotency.WITH_KEY;
         harness.idempotencyScope = IdempotencyScope.CELL;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
 
-        harness.request("r").after(10_000).outcome("r", 0, harness.sentTo("r", 0), Outcome.ERROR, 10_000);
+        harness.request("r").advance(10_000).outcome("r", 0, harness.sentTo("r", 0), Outcome.ERROR, 10_000);
         String second = harness.sentTo("r", 1);
 
         assertTrue(second == null || second.equals(harness.sentTo("r", 0)));
 
-        BalancerHarness late = new BalancerHarness();
-        late.idempotency = Idempotency.WITH_KEY;
-        late.idempotencyWindowMicros = 5_000;
-        late.start().list(A, B);
+        BalancerHarness expired = new BalancerHarness();
+        expired.idempotency = Idempotency.WITH_KEY;
+        expired.idempotencyWindowMicros = 5_000;
+        expired.start().endpointList(A, B);
 
-        late.request("r").after(10_000).outcome("r", 0, late.sentTo("r", 0), Outcome.ERROR, 10_000);
+        expired.request("r").advance(10_000).outcome("r", 0, expired.sentTo("r", 0), Outcome.ERROR, 10_000);
 
-        assertNull(late.sentTo("r", 1));
-        // It may have run and no server drops its repeat any more: to call a retry harmless would be wrong.
-        assertEquals(1, late.actionsStartingWith("fail r").size());
-        assertTrue(late.actionsStartingWith("reject").isEmpty());
+        assertNull(expired.sentTo("r", 1));
+        // The request may have run and no upstream deduplicates it any more, so it must not be rejected as
+        // safe to retry.
+        assertEquals(1, expired.actionsStartingWith("fail r").size());
+        assertTrue(expired.actionsStartingWith("reject").isEmpty());
     }
 
     @Test
-    void stopsAtTheMaximumOfAttempts() {
+    void stopsAtTheMaximumNumberOfAttempts() {
         BalancerHarness harness = new BalancerHarness();
         harness.maxAttempts = 2;
-        harness.start().list(A, B, BalancerHarness.upstream("c", "zc", 3));
+        harness.start().endpointList(A, B, BalancerHarness.upstream("c", "zc", 3));
 
         harness.request("r");
         for (int i = 0; i < 2; i++) {
-            harness.after(1_000).outcome("r", i, harness.sentTo("r", i), Outcome.CONNECT_FAILED, 1_000);
+            harness.advance(1_000).outcome("r", i, harness.sentTo("r", i), Outcome.CONNECT_FAILED, 1_000);
         }
 
         assertEquals(2, harness.actionsStartingWith("send r").size());
@@ -109,11 +111,11 @@
     }
 
     @Test
-    void allowsASecondAttemptInFlightOnlyWithHedging() {
+    void allowsSecondAttemptInFlightOnlyWithHedging() {
         for (boolean hedging : new boolean[] {false, true}) {
             BalancerHarness harness = new BalancerHarness();
             harness.hedging = hedging;
-            harness.start().list(A, B);
+            harness.start().endpointList(A, B);
 
             harness.request("r");
             TrackedUpstream candidate = harness.tracked(harness.sentTo("r", 0).equals("a") ? "b" : "a");
@@ -129,30 +131,36 @@
         }
     }
 
-    /** A zone known from an old list only is no promise that a repeat is dropped. */
+    /**
+     * A zone that is only known from an outdated list does not guarantee that the request is deduplicated
+     * there.
+     */
     @Test
-    void retriesWithAKeyNowhereElseWhileIdentityIsUncertain() {
-        for (Uncertainty doubt : List.of(Uncertainty.NONE, Uncertainty.IDENTITY)) {
+    void retriesWithIdempotencyKeyOnlyOnTheSameUpstreamWhileIdentityIsUncertain() {
+        for (Uncertainty uncertainty : List.of(Uncertainty.NONE, Uncertainty.IDENTITY)) {
             BalancerHarness harness = new BalancerHarness();
             harness.idempotency = Idempotency.WITH_KEY;
             harness.idempotencyScope = IdempotencyScope.ZONE;
-            harness.start().list(uncertain("s1", "za", doubt, 0), uncertain("s2", "za", doubt, 0));
+            harness.start()
+                    .endpointList(
+                            uncertainUpstream("s1", "za", uncertainty, 0),
+                            uncertainUpstream("s2", "za", uncertainty, 0));
 
             harness.request("a");
             String first = harness.sentTo("a", 0);
-            harness.after(50_000).outcome("a", 0, first, Outcome.RESET, 50_000);
+            harness.advance(50_000).outcome("a", 0, first, Outcome.RESET, 50_000);
             String second = harness.sentTo("a", 1);
 
             assertTrue(
-                    doubt == Uncertainty.NONE ? second != null : second == null || second.equals(first),
-                    doubt + ": " + first + " then " + second);
+                    uncertainty == Uncertainty.NONE ? second != null : second == null || second.equals(first),
+                    uncertainty + ": first attempt at " + first + ", second at " + second);
         }
     }
 
     @Test
-    void sendsOnlyToUpstreamsOfTheProtocol() {
+    void sendsOnlyToUpstreamsThatSpeakTheProtocol() {
         BalancerHarness harness = new BalancerHarness();
-        harness.start().list(speaking("h", Balancer.HTTP1), speaking("g", Balancer.GRPC));
+        harness.start().endpointList(upstreamSpeaking("h", Balancer.HTTP1), upstreamSpeaking("g", Balancer.GRPC));
         harness.balancer.onRequest(harness.nowMicros, protocolRequest("a", Balancer.GRPC));
         harness.balancer.onRequest(harness.nowMicros, protocolRequest("b", Balancer.HTTP1));
 
--- a/src/test/java/loadbalancer/balancing/BalancerHarness.java
+++ b/src/test/java/loadbalancer/balancing/BalancerHarness.java
@@ -17,10 +17,17 @@
 import loadbalancer.balancing.Balancer.Upstream;
 import loadbalancer.balancing.Balancer.UpstreamState;
 
-/** One balancer under test: builds its settings, passes events on, and writes its actions down as lines. */
+/**
+ * Runs one balancer under test: builds its settings, passes events to it and records its actions as text
+ * lines.
+ */
 final class BalancerHarness implements Balancer.Actions {
+    static final long START_MICROS = 1_000_000_000L;
+
+    /** Actions in the order in which they were issued, each as its name and arguments. */
     final List<String> actions = new ArrayList<>();
-    long nowMicros = 1_000_000_000L;
+
+    long nowMicros = START_MICROS;
     HaloBalancer balancer;
     RoutingConstraints constraints = RoutingConstraints.NONE;
     PeerLoad peerLoad = PeerLoad.NONE;
@@ -28,7 +35,7 @@
     Idempotency idempotency = Idempotency.IDEMPOTENT;
     IdempotencyScope idempotencyScope = IdempotencyScope.ALL;
     long idempotencyWindowMicros = 4_000_000;
-    long objectiveMicros = 300_000;
+    long latencyObjectiveMicros = 300_000;
     boolean streamingClass;
     int maxAttempts = 4;
     boolean hedging;
@@ -37,7 +44,7 @@
     long closeOnDrainMicros;
     int sidecarIndex;
     double connectionPrice;
-    boolean discoveryOnRequest;
+    boolean pollsDiscovery;
     long pollIntervalMicros = 10_000_000;
     int sidecarCount = 2;
     long seed = 7;
@@ -51,18 +58,18 @@
                 idempotency,
                 idempotencyScope,
                 idempotencyWindowMicros,
-                objectiveMicros,
+                latencyObjectiveMicros,
                 0,
                 800_000,
                 3,
                 0,
                 streamingClass);
-        RequestClass secondaryClass = new RequestClass(
+        RequestClass otherClass = new RequestClass(
                 "other",
                 idempotency,
                 idempotencyScope,
                 idempotencyWindowMicros,
-                objectiveMicros,
+                latencyObjectiveMicros,
                 0,
                 800_000,
                 3,
@@ -74,12 +81,12 @@
                 "za",
                 List.of("za", "zb", "zc"),
                 List.of("k"),
-                List.of(requestClass, secondaryClass),
+                List.of(requestClass, otherClass),
                 tenants,
                 new Limits(maxAttempts, hedging, true, healthChecks, gossip, true, 1_000_000, 15_000_000, 0),
                 new Rules(500_000, 0.13, 24_000_000, 3, 1_000_000, pollIntervalMicros, 5_000, closeOnDrainMicros),
                 loadReporting,
-                discoveryOnRequest,
+                pollsDiscovery,
                 false,
                 0.1,
                 new Prices(crossZonePrice, 0.01, 0.002, connectionPrice, connectionPrice),
@@ -92,7 +99,8 @@
         return new Upstream(id, zone, "k", cell, 0, 1, UpstreamState.READY);
     }
 
-    BalancerHarness list(Upstream... entries) {
+    /** Passes a complete endpoint list. */
+    BalancerHarness endpointList(Upstream... entries) {
         balancer.onEndpointList(nowMicros, EndpointListKind.FULL, List.of(entries));
         return this;
     }
@@ -111,19 +119,20 @@
         return this;
     }
 
-    BalancerHarness after(long micros) {
+    /** Advances the clock. */
+    BalancerHarness advance(long micros) {
         nowMicros += micros;
         return this;
     }
 
-    /** What the balancer knows of the upstream of this id. */
+    /** Returns the balancer's state of the upstream with this id. */
     TrackedUpstream tracked(String id) {
         return balancer.directory().find(id);
     }
 
-    /** Fires the timer, as the host would. */
-    BalancerHarness fire(String mark) {
-        balancer.onTimer(nowMicros, mark);
+    /** Fires the timer with this name. */
+    BalancerHarness fireTimer(String timerName) {
+        balancer.onTimer(nowMicros, timerName);
         return this;
     }
 
@@ -131,30 +140,30 @@
         return actions.stream().filter(a -> a.startsWith(prefix)).toList();
     }
 
-    /** Where the attempt of this number of the request went, or null. */
+    /** Returns the id of the upstream to which the attempt with this number was sent, or null. */
     String sentTo(String id, int attempt) {
         List<String> sends = actionsStartingWith("send " + id + " ");
         return attempt < sends.size() ? sends.get(attempt).split(" ")[2] : null;
     }
 
     @Override
-    public void send(String request, String upstreamId, long untilMicros) {
-        actions.add("send " + request + " " + upstreamId + " " + untilMicros);
+    public void send(String requestId, String upstreamId, long deadlineMicros) {
+        actions.add("send " + requestId + " " + upstreamId + " " + deadlineMicros);
     }
 
     @Override
-    public void reject(String request, long retryAfterMicros) {
-        actions.add("reject " + request);
+    public void reject(String requestId, long retryAfterMicros) {
+        actions.add("reject " + requestId);
     }
 
     @Override
-    public void fail(String request) {
-        actions.add("fail " + request);
+    public void fail(String requestId) {
+        actions.add("fail " + requestId);
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        actions.add("cancel " + request + " " + attempt);
+    public void cancel(String requestId, int attempt) {
+        actions.add("cancel " + requestId + " " + attempt);
     }
 
     @Override
@@ -178,8 +187,8 @@
     }
 
     @Override
-    public void startTimer(String mark, long delayMicros) {
-        actions.add("startTimer " + mark + " " + delayMicros);
+    public void startTimer(String timerName, long delayMicros) {
+        actions.add("startTimer " + timerName + " " + delayMicros);
     }
 
     @Override
--- a/src/test/java/loadbalancer/balancing/CapacityCheckTest.java
+++ b/src/test/java/loadbalancer/balancing/CapacityCheckTest.java
@@ -2,7 +2,7 @@
 
 import static loadbalancer.balancing.UpstreamFixtures.A;
 import static loadbalancer.balancing.UpstreamFixtures.B;
-import static loadbalancer.balancing.UpstreamFixtures.uncertain;
+import static loadbalancer.balancing.UpstreamFixtures.uncertainUpstream;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -12,11 +12,11 @@
 import loadbalancer.balancing.Balancer.Uncertainty;
 import org.junit.jupiter.api.Test;
 
-/** Upstreams without capacity get no requests. */
+/** Tests that upstreams without capacity get no requests. */
 class CapacityCheckTest {
     @Test
-    void sendsNothingToAnUpstreamThatReportsToBeFull() {
-        BalancerHarness harness = new BalancerHarness().start().list(A, B);
+    void sendsNothingToAnUpstreamWhoseLoadReportShowsItFull() {
+        BalancerHarness harness = new BalancerHarness().start().endpointList(A, B);
 
         harness.request("r");
         String target = harness.sentTo("r", 0);
@@ -29,20 +29,23 @@
         }
     }
 
-    /** Whatever takes connections there may lose what it is sent. */
+    /**
+     * An address that accepts connections but is not known to be the service may lose the requests sent to
+     * it.
+     */
     @Test
-    void sendsOneIdempotentRequestAtATimeToAnUnknownServer() {
-        for (Idempotency semantics : Idempotency.values()) {
+    void sendsOnlyOneIdempotentRequestAtATimeToAnUnknownService() {
+        for (Idempotency idempotency : Idempotency.values()) {
             BalancerHarness harness = new BalancerHarness();
-            harness.idempotency = semantics;
-            harness.start().list(uncertain("s1", "za", Uncertainty.SERVICE, 0));
+            harness.idempotency = idempotency;
+            harness.start().endpointList(uncertainUpstream("s1", "za", Uncertainty.SERVICE, 0));
 
             harness.request("a").request("b");
 
             assertEquals(
-                    semantics == Idempotency.IDEMPOTENT ? 1 : 0,
+                    idempotency == Idempotency.IDEMPOTENT ? 1 : 0,
                     harness.actionsStartingWith("send").size(),
-                    semantics + ": " + harness.actions);
+                    idempotency + ": " + harness.actions);
         }
     }
 }
--- a/src/test/java/loadbalancer/balancing/ClassBackoffTest.java
+++ b/src/test/java/loadbalancer/balancing/ClassBackoffTest.java
@@ -8,57 +8,61 @@
 import loadbalancer.balancing.Balancer.Request;
 import org.junit.jupiter.api.Test;
 
-/** A request class that an upstream never answers. */
+/** Tests the backoff of a request class on an upstream that does not respond to it. */
 class ClassBackoffTest {
     /**
-     * One of three upstreams answers one class but never the other: that class goes elsewhere, but for a probe now
-     * and then.
+     * One of three upstreams responds to one class but never to the answeredClass. The unanswered class must
+     * be sent elsewhere apart from occasional tries.
      */
     @Test
-    void backsAClassOffAnUpstreamThatNeverAnswersItAndTriesAgain() {
+    void backsOffFromAnUpstreamThatNeverRespondsToTheClassAndRetriesIt() {
         BalancerHarness harness = new BalancerHarness();
         harness.maxAttempts = 1;
         harness.start()
-                .list(
+                .endpointList(
                         BalancerHarness.upstream("a", "za", 1),
                         BalancerHarness.upstream("b", "za", 1),
-                        BalancerHarness.upstream("deaf", "za", 1));
-        int swallowed = 0;
-        int others = 0;
+                        BalancerHarness.upstream("silent", "za", 1));
+        int unanswered = 0;
+        int answered = 0;
         for (int i = 0; i < 600; i++) {
-            boolean other = i % 2 == 1;
+            boolean answeredClass = i % 2 == 1;
             String id = "r" + i;
             harness.balancer.onRequest(
-                    harness.nowMicros, new Request(id, -1, false, false, 0, 800_000, null, other ? "other" : "c"));
+                    harness.nowMicros,
+                    new Request(id, -1, false, false, 0, 800_000, null, answeredClass ? "other" : "c"));
             String target = harness.sentTo(id, 0);
-            boolean deaf = target.equals("deaf") && !other;
-            swallowed += deaf ? 1 : 0;
-            others += target.equals("deaf") && other ? 1 : 0;
-            harness.outcome(id, 0, target, deaf ? Outcome.TIMEOUT : Outcome.OK, 60_000);
-            harness.after(20_000);
+            boolean timesOut = target.equals("silent") && !answeredClass;
+            unanswered += timesOut ? 1 : 0;
+            answered += target.equals("silent") && answeredClass ? 1 : 0;
+            harness.outcome(id, 0, target, timesOut ? Outcome.TIMEOUT : Outcome.OK, 60_000);
+            harness.advance(20_000);
         }
-        // Three, then tries after 0.5, 1, 2, 4 and 8 s.
-        assertTrue(swallowed >= 5 && swallowed <= 9, swallowed + " were swallowed");
-        assertTrue(others > 50, "the other class went there " + others + " times");
-        // One answer, and it is as any other.
-        harness.after(8_000_000);
-        int back = 0;
+        // Three timeouts start the backoff; the upstream is tried again after 0.5, 1, 2, 4 and 8 s.
+        assertTrue(unanswered >= 5 && unanswered <= 9, "expected 5 to 9 unanswered requests, found " + unanswered);
+        assertTrue(answered > 50, "expected more than 50 requests of the answered class, found " + answered);
+        // A single response ends the backoff.
+        harness.advance(8_000_000);
+        int afterBackoff = 0;
         for (int i = 0; i < 200; i++) {
             harness.request("b" + i);
-            back += harness.sentTo("b" + i, 0).equals("deaf") ? 1 : 0;
+            afterBackoff += harness.sentTo("b" + i, 0).equals("silent") ? 1 : 0;
             harness.outcome("b" + i, 0, harness.sentTo("b" + i, 0), Outcome.OK, 60_000);
-            harness.after(20_000);
+            harness.advance(20_000);
         }
 
-        assertTrue(back > 30, "it got " + back + " of 200 back");
+        assertTrue(afterBackoff > 30, "expected more than 30 of 200 requests after the backoff, found " + afterBackoff);
     }
 
-    /** Where most never answer it the class itself is at fault, or the network. */
+    /**
+     * If most upstreams never respond to a class, the class or the network is the cause, not a single
+     * upstream.
+     */
     @Test
-    void backsOffNowhereWhereMostUpstreamsNeverAnswerTheClass() {
+    void ignoresTheBackoffIfMostUpstreamsNeverRespondToTheClass() {
         BalancerHarness harness = new BalancerHarness();
         harness.maxAttempts = 1;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
         int sent = 0;
         for (int i = 0; i < 60; i++) {
             harness.balancer.onRequest(
@@ -69,12 +73,12 @@
                 sent++;
                 harness.outcome("r" + i, 0, harness.sentTo("r" + i, 0), Outcome.TIMEOUT, 100_000);
             } else {
-                // Its client does not wait: nothing stands before the next.
+                // The client gives up, so that no queued request precedes the next one.
                 harness.balancer.onExpired(harness.nowMicros, "r" + i);
             }
-            harness.after(20_000);
+            harness.advance(20_000);
         }
 
-        assertTrue(sent > 20, "only " + sent + " of 60 were sent");
+        assertTrue(sent > 20, "expected more than 20 of 60 requests to be sent, found " + sent);
     }
 }
--- a/src/test/java/loadbalancer/balancing/CongestionEstimatorTest.java
+++ b/src/test/java/loadbalancer/balancing/CongestionEstimatorTest.java
@@ -9,38 +9,44 @@
 import loadbalancer.balancing.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Load shedding where no single upstream's load is known. */
+/** Tests load shedding if the load of a single upstream is unknown. */
 class CongestionEstimatorTest {
-    /** Latencies far above the best show other sidecars' requests: load is shed before upstreams are overloaded. */
+    /**
+     * Latencies far above the best are caused by other sidecars' requests, so load is shed before an
+     * overload.
+     */
     @Test
-    void shedsLoadByLatencyWhereNoLoadIsReported() {
+    void shedsLoadByLatencyIfNoLoadIsReported() {
         assertEquals(0, shedAfterSlowdown(4, LoadReporting.NONE));
         assertTrue(shedAfterSlowdown(400, LoadReporting.NONE) > 30);
     }
 
-    /** Where health checks cost too much, responses still report the load: slow upstreams are no congestion there. */
+    /**
+     * Load reports in responses show the load even without health checks, so slow responses alone are no
+     * congestion.
+     */
     @Test
-    void shedsNothingByLatencyWhereResponsesReportTheLoad() {
+    void shedsNothingByLatencyIfResponsesReportTheLoad() {
         assertEquals(0, shedAfterSlowdown(400, LoadReporting.IN_RESPONSES));
     }
 
-    private static int shedAfterSlowdown(int sidecars, LoadReporting reports) {
+    private static int shedAfterSlowdown(int sidecarCount, LoadReporting loadReporting) {
         BalancerHarness harness = new BalancerHarness();
-        harness.sidecarCount = sidecars;
-        harness.loadReporting = reports;
-        harness.objectiveMicros = 700_000;
-        harness.start().list(A, B);
-        int refused = 0;
+        harness.sidecarCount = sidecarCount;
+        harness.loadReporting = loadReporting;
+        harness.latencyObjectiveMicros = 700_000;
+        harness.start().endpointList(A, B);
+        int shed = 0;
         for (int i = 0; i < 200; i++) {
             harness.actions.clear();
-            harness.after(700_000).request("r" + i);
+            harness.advance(700_000).request("r" + i);
             String target = harness.sentTo("r" + i, 0);
-            refused += target == null ? 1 : 0;
+            shed += target == null ? 1 : 0;
             if (target != null) {
                 harness.outcome("r" + i, 0, target, Outcome.OK, i < 100 ? 100_000 : 300_000);
             }
-            assertTrue(i > 100 || target != null, "calm: all are sent");
+            assertTrue(i > 100 || target != null, "request " + i + " was shed before the slowdown");
         }
-        return refused;
+        return shed;
     }
 }
--- a/src/test/java/loadbalancer/balancing/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/balancing/ConnectionReuseTest.java
@@ -11,14 +11,14 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-/** Which idle connections are closed. */
+/** Tests which idle connections are closed. */
 class ConnectionReuseTest {
     @Test
-    void closesIdleConnectionsOfADrainingUpstreamWhereTheRuleIsSet() {
+    void closesIdleConnectionsToADrainingUpstreamIfTheRuleIsSet() {
         for (long closeOnDrainMicros : new long[] {0, 500_000}) {
             BalancerHarness harness = new BalancerHarness();
             harness.closeOnDrainMicros = closeOnDrainMicros;
-            harness.start().list(A);
+            harness.start().endpointList(A);
 
             harness.request("r").request("s");
             harness.balancer.onEndpointList(
@@ -28,14 +28,14 @@
                     closeOnDrainMicros > 0 ? 1 : 0,
                     harness.actionsStartingWith("closeIdleConnections a").size());
 
-            harness.after(50_000).outcome("r", 0, "a", Outcome.OK, 50_000);
+            harness.advance(50_000).outcome("r", 0, "a", Outcome.OK, 50_000);
 
             assertEquals(
                     closeOnDrainMicros > 0 ? 2 : 0,
                     harness.actionsStartingWith("closeIdleConnections a").size());
-            // It comes back: no more closing.
+            // The upstream is ready again, so no more connections are closed.
             harness.balancer.onEndpointList(harness.nowMicros, EndpointListKind.DELTA, List.of(A));
-            harness.after(50_000).outcome("s", 0, "a", Outcome.OK, 100_000);
+            harness.advance(50_000).outcome("s", 0, "a", Outcome.OK, 100_000);
 
             assertEquals(
                     closeOnDrainMicros > 0 ? 2 : 0,
@@ -44,10 +44,10 @@
     }
 
     @Test
-    void closesIdleConnectionsOfARemovedUpstreamThatWasUsed() {
+    void closesIdleConnectionsToARemovedUpstreamThatWasUsed() {
         BalancerHarness harness = new BalancerHarness();
         harness.closeOnDrainMicros = 500_000;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
 
         harness.request("r");
         String used = harness.sentTo("r", 0);
@@ -56,31 +56,34 @@
         assertEquals(List.of("closeIdleConnections " + used), harness.actionsStartingWith("closeIdleConnections"));
     }
 
-    /** Connections dropped without a sign: the failure blames the idle time, not the upstream. */
+    /** A failure on a silently dropped connection is attributed to its idle time, not to the upstream. */
     @Test
-    void closesLongIdleConnectionsOnceOneWasDropped() {
+    void closesLongIdleConnectionsAfterOneWasDropped() {
         BalancerHarness harness = new BalancerHarness();
         harness.connectionPrice = 0.05;
-        harness.start().list(A);
+        harness.start().endpointList(A);
 
-        harness.request("r0").after(75_000).outcome("r0", 0, "a", Outcome.OK, 75_000);
-        harness.after(2_000_000).request("r1").after(1_000).outcome("r1", 0, "a", Outcome.RESET, 1_000);
+        harness.request("r0").advance(75_000).outcome("r0", 0, "a", Outcome.OK, 75_000);
+        harness.advance(2_000_000).request("r1").advance(1_000).outcome("r1", 0, "a", Outcome.RESET, 1_000);
 
         assertEquals("a", harness.sentTo("r1", 1));
 
-        harness.after(75_000).outcome("r1", 1, "a", Outcome.OK, 75_000);
+        harness.advance(75_000).outcome("r1", 1, "a", Outcome.OK, 75_000);
 
         assertEquals(0, harness.actionsStartingWith("closeIdleConnections").size());
 
-        harness.after(1_800_000).request("r2");
+        harness.advance(1_800_000).request("r2");
 
         assertEquals(1, harness.actionsStartingWith("closeIdleConnections a").size());
 
-        harness.after(75_000)
+        harness.advance(75_000)
                 .outcome("r2", 0, "a", Outcome.OK, 75_000)
-                .after(500_000)
+                .advance(500_000)
                 .request("r3");
 
-        assertEquals(1, harness.actionsStartingWith("closeIdleConnections a").size(), "hardly idle: kept");
+        assertEquals(
+                1,
+                harness.actionsStartingWith("closeIdleConnections a").size(),
+                "a connection that was idle for only 500 ms must be kept");
     }
 }
--- a/src/test/java/loadbalancer/balancing/DiscoveryPollingTest.java
+++ b/src/test/java/loadbalancer/balancing/DiscoveryPollingTest.java
@@ -8,12 +8,12 @@
 import loadbalancer.balancing.Balancer.EndpointListKind;
 import org.junit.jupiter.api.Test;
 
-/** Polls of discovery and their backoff. */
+/** Tests the polls of discovery and their backoff. */
 class DiscoveryPollingTest {
     @Test
-    void pollsAtOnceAndAgainAfterAFailure() {
+    void pollsAtTheStartAndAgainAfterAFailure() {
         BalancerHarness harness = new BalancerHarness();
-        harness.discoveryOnRequest = true;
+        harness.pollsDiscovery = true;
         harness.start();
 
         assertEquals(1, harness.actionsStartingWith("pollDiscovery").size());
@@ -22,36 +22,39 @@
 
         assertEquals(1, harness.actionsStartingWith("startTimer ask").size());
 
-        harness.after(2_000_000).fire("ask");
+        harness.advance(2_000_000).fireTimer("ask");
 
         assertEquals(2, harness.actionsStartingWith("pollDiscovery").size());
 
         harness.balancer.onEndpointList(harness.nowMicros, EndpointListKind.FULL, List.of(A));
-        harness.fire("ask");
+        harness.fireTimer("ask");
 
         assertEquals(2, harness.actionsStartingWith("pollDiscovery").size());
     }
 
     /**
-     * Discovery that goes on failing, and settings without a poll interval: the backoff does not shrink to nothing.
+     * Without a poll interval in the settings, the backoff must not shrink to nothing while discovery keeps
+     * failing.
      */
     @Test
-    void backsOffAlsoWithoutAPollIntervalInTheSettings() {
+    void backsOffWithoutAPollIntervalInTheSettings() {
         BalancerHarness harness = new BalancerHarness();
-        harness.discoveryOnRequest = true;
+        harness.pollsDiscovery = true;
         harness.pollIntervalMicros = 0;
         harness.start();
         for (int i = 0; i < 20; i++) {
             harness.balancer.onEndpointList(harness.nowMicros, EndpointListKind.FAILED, List.of());
-            List<String> asks = harness.actionsStartingWith("startTimer ask");
+            List<String> pollTimers = harness.actionsStartingWith("startTimer ask");
 
-            assertEquals(i + 1, asks.size());
+            assertEquals(i + 1, pollTimers.size());
 
-            long pauseMicros = Long.parseLong(asks.get(i).substring("startTimer ask ".length()));
+            long backoffMicros = Long.parseLong(pollTimers.get(i).substring("startTimer ask ".length()));
 
-            assertTrue(pauseMicros >= 250_000 && pauseMicros < 750_000, "pause of " + pauseMicros + " us");
+            assertTrue(
+                    backoffMicros >= 250_000 && backoffMicros < 750_000,
+                    "expected a backoff of 250 to 750 ms, found " + backoffMicros + " us");
 
-            harness.after(pauseMicros).fire("ask");
+            harness.advance(backoffMicros).fireTimer("ask");
         }
     }
 }
--- a/src/test/java/loadbalancer/balancing/FleetGossipTest.java
+++ b/src/test/java/loadbalancer/balancing/FleetGossipTest.java
@@ -7,29 +7,29 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Gossip about rates. */
+/** Tests gossip about request rates. */
 class FleetGossipTest {
-    /** Messages may be lost, repeated or false: they only move the estimate of the fleet's rate. */
     @Test
-    void tellsOneRandomPeerAtATime() {
+    void sendsToOneRandomPeerAtATime() {
         BalancerHarness harness = new BalancerHarness();
         harness.sidecarCount = 500;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
 
-        harness.fire("tell");
+        harness.fireTimer("tell");
 
         assertEquals(1, harness.actionsStartingWith("gossip").size());
         assertFalse(harness.actionsStartingWith("gossip").get(0).startsWith("gossip -1"));
         assertFalse(harness.actionsStartingWith("gossip").get(0).startsWith("gossip 0 "));
 
-        harness.after(1_000_000).fire("tell");
+        harness.advance(1_000_000).fireTimer("tell");
 
         assertEquals(2, harness.actionsStartingWith("gossip").size());
     }
 
+    /** Messages may be lost, repeated or wrong; they only change the estimate of the fleet's request rate. */
     @Test
     void ignoresMalformedMessages() {
-        BalancerHarness harness = new BalancerHarness().start().list(A);
+        BalancerHarness harness = new BalancerHarness().start().endpointList(A);
         harness.balancer.onGossip(harness.nowMicros, 9, new byte[] {1, 2, 3, 4, 5});
         harness.balancer.onGossip(harness.nowMicros, 1, new byte[] {1});
         harness.balancer.onGossip(harness.nowMicros, 1, new byte[] {1, 2, 3, 4});
--- a/src/test/java/loadbalancer/balancing/HaloSplitTest.java
+++ b/src/test/java/loadbalancer/balancing/HaloSplitTest.java
@@ -6,40 +6,40 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Eq. (4) against the paper's corollaries and cases worked out by hand. */
+/** Tests the solution of Eq. (4) against the corollaries of the HALO paper and hand-computed cases. */
 class HaloSplitTest {
     private static double[] values(double... values) {
         return values;
     }
 
     @Test
-    void splitsInProportionAtSaturationAndPastIt() {
+    void splitsInProportionToCapacityAtAndAboveSaturation() {
         assertArrayEquals(values(2.0 / 3, 1.0 / 3), HaloSplit.solve(values(1, 1), values(2, 1), 3), 1e-9);
         assertArrayEquals(values(2.0 / 3, 1.0 / 3), HaloSplit.solve(values(1, 1), values(2, 1), 30), 1e-9);
     }
 
     @Test
-    void givesAllToTheFastestAtLowRateAndAtZero() {
+    void sendsEverythingToTheFastestGroupAtLowRatesAndAtZero() {
         assertArrayEquals(values(1, 0), HaloSplit.solve(values(1, 1), values(2, 1), 0.1), 1e-9);
         assertArrayEquals(values(0, 1), HaloSplit.solve(values(3, 2), values(1, 4), 0), 1e-9);
     }
 
     @Test
-    void agreesWithAHandComputedCase() {
+    void matchesAHandComputedCase() {
         // n = 2, mu = 4 and 1, rate 3: p1 = (4*1 - 1*2 + 3*2) / (3*(2+1)) = 8/9.
         assertArrayEquals(values(8.0 / 9, 1.0 / 9), HaloSplit.solve(values(1, 1), values(4, 1), 3), 1e-9);
     }
 
     @Test
-    void dropsNegativeSharesAndSolvesAgain() {
-        // Of mu = 9, 4, 1/4 at rate 6 the slow group goes negative; the rest alone: p1 = (9*2 - 4*3 + 6*3)
-        // / 30.
+    void dropsGroupsWithNegativeProbabilityAndSolvesAgain() {
+        // With mu = 9, 4, 1/4 and rate 6 the probability of the slow group is negative. Without that group
+        // p1 = (9*2 - 4*3 + 6*3) / 30.
         double[] probabilities = HaloSplit.solve(values(1, 1, 1), values(9, 4, 0.25), 6);
         assertArrayEquals(values(24.0 / 30, 6.0 / 30, 0), probabilities, 1e-9);
     }
 
     @Test
-    void isUnchangedByScalingTheGroups() {
+    void isInvariantUnderScalingOfGroupSizesAndRate() {
         double[] small = HaloSplit.solve(values(2, 3), values(2, 1), 5);
         double[] large = HaloSplit.solve(values(200, 300), values(2, 1), 500);
         assertArrayEquals(small, large, 1e-9);
--- a/src/test/java/loadbalancer/balancing/HedgingTest.java
+++ b/src/test/java/loadbalancer/balancing/HedgingTest.java
@@ -10,44 +10,44 @@
 import loadbalancer.balancing.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** When an overdue attempt is hedged. */
+/** Tests when an overdue attempt is hedged. */
 class HedgingTest {
-    /** A stall shows when the upstream of an overdue attempt does not answer a health check. */
+    /** An upstream is stalled if it does not respond to the health check that follows an overdue attempt. */
     @Test
-    void hedgesAnOverdueAttemptOnlyWhereItsUpstreamIsUnresponsive() {
+    void hedgesAnOverdueAttemptOnlyIfItsUpstreamIsUnresponsive() {
         for (boolean unresponsive : new boolean[] {true, false}) {
-            for (Idempotency semantics : new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT}) {
+            for (Idempotency idempotency : new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT}) {
                 BalancerHarness harness = new BalancerHarness();
                 harness.healthChecks = harness.hedging = true;
-                harness.idempotency = semantics;
-                harness.start().list(A, B);
+                harness.idempotency = idempotency;
+                harness.start().endpointList(A, B);
                 for (int i = 0; i < 20; i++) {
-                    // Saves up a copy, and tells that both are idle.
-                    harness.request("w" + i).after(1_000);
+                    // Fills the budget for a hedged request and reports both upstreams as idle.
+                    harness.request("w" + i).advance(1_000);
                     for (String id : new String[] {"a", "b"}) {
                         harness.balancer.onHealthCheck(
                                 harness.nowMicros, id, Outcome.OK, 1_000, new LoadReport(0, 0, 0));
                     }
                     harness.outcome("w" + i, 0, harness.sentTo("w" + i, 0), Outcome.OK, 50_000);
                 }
-                harness.request("r").after(1_000);
+                harness.request("r").advance(1_000);
                 for (String id : new String[] {"a", "b"}) {
                     harness.balancer.onHealthCheck(harness.nowMicros, id, Outcome.OK, 1_000, new LoadReport(0, 0, 0));
                 }
                 String slow = harness.sentTo("r", 0);
                 harness.actions.clear();
-                harness.after(150_000).fire("late:r");
-                if (semantics == Idempotency.IDEMPOTENT) {
+                harness.advance(150_000).fireTimer("late:r");
+                if (idempotency == Idempotency.IDEMPOTENT) {
                     assertEquals(List.of("checkHealth " + slow), harness.actionsStartingWith("checkHealth"));
                 }
-                harness.after(5_000);
+                harness.advance(5_000);
                 if (!unresponsive) {
                     harness.balancer.onHealthCheck(harness.nowMicros, slow, Outcome.OK, 1_000, new LoadReport(1, 0, 1));
                 }
-                harness.fire("mute:r");
+                harness.fireTimer("mute:r");
 
                 assertEquals(
-                        unresponsive && semantics == Idempotency.IDEMPOTENT ? 1 : 0,
+                        unresponsive && idempotency == Idempotency.IDEMPOTENT ? 1 : 0,
                         harness.actionsStartingWith("send r").size());
             }
         }
--- a/src/test/java/loadbalancer/balancing/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/balancing/RequestDispatcherTest.java
@@ -12,14 +12,14 @@
 import loadbalancer.balancing.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Each request gets one final answer in time. */
+/** Tests that each request gets one final answer in time. */
 class RequestDispatcherTest {
     @Test
-    void rejectsBeforeTheDeadlineWithoutAnyUpstream() {
+    void rejectsBeforeTheDeadlineIfThereIsNoUpstream() {
         BalancerHarness harness = new BalancerHarness().start();
         harness.request("r");
         for (int i = 0; i < 100; i++) {
-            harness.after(5_000).fire("hold");
+            harness.advance(5_000).fireTimer("hold");
         }
 
         assertEquals(List.of("reject r"), harness.actionsStartingWith("reject"));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void rejectsAtOnceWhatWouldExpireBeforeTheNextSweep() {
+    void rejectsImmediatelyIfTheDeadlineIsBeforeTheNextSweep() {
         BalancerHarness harness = new BalancerHarness().start();
         harness.request("r", 3_000);
 
@@ -39,20 +39,20 @@
         BalancerHarness harness = new BalancerHarness();
         harness.idempotency = Idempotency.WITH_KEY;
         harness.idempotencyScope = IdempotencyScope.ZONE;
-        harness.start().list(A);
+        harness.start().endpointList(A);
 
-        harness.request("r").after(800_000).outcome("r", 0, "a", Outcome.TIMEOUT, 800_000);
+        harness.request("r").advance(800_000).outcome("r", 0, "a", Outcome.TIMEOUT, 800_000);
 
         assertEquals(1, harness.actionsStartingWith("fail r").size());
         assertEquals(1, harness.actionsStartingWith("send r").size());
     }
 
     @Test
-    void doesNothingMoreAfterTheClientHasLeft() {
-        BalancerHarness harness = new BalancerHarness().start().list(A, B);
+    void doesNotRetryOrAnswerAfterTheClientHasDisconnected() {
+        BalancerHarness harness = new BalancerHarness().start().endpointList(A, B);
         harness.request("r");
         harness.balancer.onExpired(harness.nowMicros, "r");
-        harness.after(10_000).outcome("r", 0, harness.sentTo("r", 0), Outcome.CONNECT_FAILED, 10_000);
+        harness.advance(10_000).outcome("r", 0, harness.sentTo("r", 0), Outcome.CONNECT_FAILED, 10_000);
 
         assertEquals(1, harness.actionsStartingWith("send r").size());
         assertTrue(harness.actionsStartingWith("fail").isEmpty()
@@ -60,10 +60,10 @@
     }
 
     @Test
-    void neitherRetriesNorAnswersAStartedStream() {
+    void neitherRetriesNorAnswersARequestWhoseStreamHasStarted() {
         BalancerHarness harness = new BalancerHarness();
         harness.streamingClass = true;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
 
         harness.request("r");
         harness.balancer.onStreamStart(harness.nowMicros, "r", 0, harness.sentTo("r", 0), 5_000);
@@ -74,15 +74,17 @@
                 && harness.actionsStartingWith("reject").isEmpty());
     }
 
-    /** Retry-After is for what has not run; an idempotent request that may have run has failed. */
+    /**
+     * A rejection implies that nothing has run, so even an idempotent request that may have run is failed.
+     */
     @Test
-    void failsWhatMayHaveRunAndRejectsWhatHasNot() {
+    void failsRequestsThatMayHaveRunAndRejectsRequestsThatHaveNot() {
         for (Outcome outcome : new Outcome[] {Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.REJECTED}) {
             BalancerHarness harness = new BalancerHarness();
             harness.maxAttempts = 1;
-            harness.start().list(A, B);
+            harness.start().endpointList(A, B);
 
-            harness.request("r").after(10_000).outcome("r", 0, harness.sentTo("r", 0), outcome, 10_000);
+            harness.request("r").advance(10_000).outcome("r", 0, harness.sentTo("r", 0), outcome, 10_000);
 
             assertEquals(
                     outcome.mayHaveRun ? 1 : 0,
@@ -95,10 +97,10 @@
         }
     }
 
-    /** No other upstream would accept it either, and none is to blame. */
+    /** No other upstream would accept an invalid request either, and the upstream is not at fault. */
     @Test
     void failsAnInvalidRequestWithoutRetryOrEjection() {
-        BalancerHarness harness = new BalancerHarness().start().list(A, B);
+        BalancerHarness harness = new BalancerHarness().start().endpointList(A, B);
         for (int i = 0; i < 6; i++) {
             harness.request("r" + i).outcome("r" + i, 0, harness.sentTo("r" + i, 0), Outcome.INVALID, 1_000);
 
@@ -109,27 +111,30 @@
         assertEquals(
                 2,
                 harness.actionsStartingWith("send").stream()
-                        .map(l -> l.split(" ")[2])
+                        .map(send -> send.split(" ")[2])
                         .distinct()
                         .count());
     }
 
-    /** Sent all the same it would end late, like all that come after it; rejected in time it may come again. */
+    /**
+     * A request sent to full upstreams would be late and delay later ones; if rejected in time it can be
+     * retried.
+     */
     @Test
-    void rejectsInTimeWhereAllAreFullOfOtherSidecarsRequests() {
+    void rejectsInTimeIfAllUpstreamsAreFullOfOtherSidecarsRequests() {
         BalancerHarness harness = new BalancerHarness();
         harness.peerLoad = (nowMicros, upstreamId) -> 6;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
 
         harness.request("r");
 
         assertNull(harness.sentTo("r", 0));
 
         for (int t = 0; t < 300_000 && harness.actionsStartingWith("reject").isEmpty(); t += 5_000) {
-            harness.after(5_000).fire("hold");
+            harness.advance(5_000).fireTimer("hold");
         }
 
         assertEquals(1, harness.actionsStartingWith("reject r").size());
-        assertTrue(harness.nowMicros - 1_000_000_000L < harness.objectiveMicros);
+        assertTrue(harness.nowMicros - BalancerHarness.START_MICROS < harness.latencyObjectiveMicros);
     }
 }
--- a/src/test/java/loadbalancer/balancing/RequestFixtures.java
+++ b/src/test/java/loadbalancer/balancing/RequestFixtures.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.balancing.Balancer.Request;
 
-/** Requests of one protocol, and streams. */
+/** Test requests of a given protocol, and streams. */
 final class RequestFixtures {
     private RequestFixtures() {}
 
--- a/src/test/java/loadbalancer/balancing/StoredRateGossipTest.java
+++ b/src/test/java/loadbalancer/balancing/StoredRateGossipTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The gossip message of what a sidecar measures: request rates, service-time factors, congestion and idle
- * limit.
+ * Tests the encoding of gossip messages (request rates, service-time factors, congestion and idle limit)
+ * against a stored message.
  */
 class StoredRateGossipTest {
     private static final String SAMPLE = "gossip-measurements";
 
     @Test
-    void aStoredMessageIsReadAndSentAgainByteForByte() {
+    void encodesAndDecodesTheStoredMessage() {
         RateGossip sent = new RateGossip(3, 2);
         sent.zoneRates[0] = 12.5;
         sent.zoneRates[1] = 0;
@@ -28,12 +28,12 @@
         sent.idleLimitMicros = 15_000_000;
         StoredSamples.assertSent(SAMPLE, sent.encode());
 
-        RateGossip read = new RateGossip(3, 2);
-        assertTrue(read.decode(StoredSamples.message(SAMPLE)));
-        assertArrayEquals(new double[] {12.5, 0, 655.35}, read.zoneRates);
-        assertArrayEquals(new double[] {1, 3.75}, read.serviceTimeFactors);
-        assertArrayEquals(new int[] {17, 255}, read.responseCounts);
-        assertEquals(1.5, read.congestion);
-        assertEquals(15_000_000, read.idleLimitMicros);
+        RateGossip decoded = new RateGossip(3, 2);
+        assertTrue(decoded.decode(StoredSamples.message(SAMPLE)));
+        assertArrayEquals(new double[] {12.5, 0, 655.35}, decoded.zoneRates);
+        assertArrayEquals(new double[] {1, 3.75}, decoded.serviceTimeFactors);
+        assertArrayEquals(new int[] {17, 255}, decoded.responseCounts);
+        assertEquals(1.5, decoded.congestion);
+        assertEquals(15_000_000, decoded.idleLimitMicros);
     }
 }
--- a/src/test/java/loadbalancer/balancing/SubsetSelectionTest.java
+++ b/src/test/java/loadbalancer/balancing/SubsetSelectionTest.java
@@ -17,47 +17,48 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-/** The upstreams and zones that one sidecar prefers. */
+/** Tests which upstreams and zones a sidecar selects. */
 class SubsetSelectionTest {
     @Test
-    void selectsAFewUpstreamsOfEachKindEvenlyWhereConnectionsCost() {
+    void selectsFewUpstreamsOfEachMachineTypeEvenlyIfConnectionsHaveAPrice() {
         int sidecarCount = 400;
         List<Upstream> fleet = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            String kind = i % 3 == 0 ? "slow" : "fast";
-            fleet.add(new Upstream("u" + i * 7919, "za", kind, i / 3, 0, 1, UpstreamState.READY));
+            String machineType = i % 3 == 0 ? "slow" : "fast";
+            fleet.add(new Upstream("u" + i * 7919, "za", machineType, i / 3, 0, 1, UpstreamState.READY));
         }
-        Map<String, Integer> users = new HashMap<>();
+        Map<String, Integer> sidecarsByUpstream = new HashMap<>();
         for (int i = 0; i < sidecarCount; i++) {
             BalancerHarness harness = new BalancerHarness();
             harness.sidecarIndex = i;
             harness.sidecarCount = sidecarCount;
             harness.connectionPrice = 0.05;
             harness.loadReporting = LoadReporting.NONE;
-            harness.start().list(fleet.toArray(new Upstream[0]));
+            harness.start().endpointList(fleet.toArray(new Upstream[0]));
             Set<String> used = new HashSet<>();
             for (int j = 0; j < 40; j++) {
-                harness.after(200_000).request("r" + j);
+                harness.advance(200_000).request("r" + j);
                 used.add(harness.sentTo("r" + j, 0));
                 harness.outcome("r" + j, 0, harness.sentTo("r" + j, 0), Outcome.OK, 75_000);
             }
 
-            assertTrue(used.size() <= 6, "" + used);
+            assertTrue(used.size() <= 6, "expected at most 6 upstreams, found " + used);
 
-            used.forEach(u -> users.merge(u, 1, Integer::sum));
+            used.forEach(id -> sidecarsByUpstream.merge(id, 1, Integer::sum));
         }
 
-        assertEquals(60, users.size());
+        assertEquals(60, sidecarsByUpstream.size());
 
-        users.forEach((u, c) -> assertTrue(c >= 5 && c <= 50, u + " has " + c));
+        sidecarsByUpstream.forEach((id, count) ->
+                assertTrue(count >= 5 && count <= 50, "expected 5 to 50 sidecars at " + id + ", found " + count));
     }
 
     @Test
-    void prefersAShortQueueInTheOwnZoneWhereCrossingHasAPrice() {
+    void prefersAShortQueueInTheLocalZoneIfCrossingZonesHasAPrice() {
         BalancerHarness harness = new BalancerHarness();
         harness.crossZonePrice = 0.08;
         harness.loadReporting = LoadReporting.NONE;
-        harness.start().list(A, B);
+        harness.start().endpointList(A, B);
         for (int i = 0; i < 3; i++) {
             harness.request("r" + i);
 
--- a/src/test/java/loadbalancer/balancing/UpstreamDirectoryTest.java
+++ b/src/test/java/loadbalancer/balancing/UpstreamDirectoryTest.java
@@ -12,28 +12,28 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-/** The endpoint list decides which upstreams there are. */
+/** Tests that the endpoint list determines the upstreams. */
 class UpstreamDirectoryTest {
     @Test
     void sendsNothingToDrainingOrRemovedUpstreams() {
-        BalancerHarness harness = new BalancerHarness().start().list(A, B);
+        BalancerHarness harness = new BalancerHarness().start().endpointList(A, B);
         harness.balancer.onEndpointList(
                 harness.nowMicros,
                 EndpointListKind.DELTA,
                 List.of(new Upstream("a", "za", "k", 1, 0, 1, UpstreamState.DRAINING)));
         harness.request("r1").request("r2");
         harness.balancer.onEndpointList(harness.nowMicros, EndpointListKind.FULL, List.of(A));
-        harness.after(1).request("r3");
+        harness.advance(1).request("r3");
 
         assertEquals("b", harness.sentTo("r1", 0));
         assertEquals("b", harness.sentTo("r2", 0));
         assertEquals("a", harness.sentTo("r3", 0));
     }
 
-    /** Where upstreams are replaced under new ids, removed ones would fill the memory over a long day. */
+    /** Upstreams are replaced under new ids, so removed ones would leak memory if they were kept. */
     @Test
     void forgetsARemovedUpstreamAfterItsLastAttempt() {
-        BalancerHarness harness = new BalancerHarness().start().list(A);
+        BalancerHarness harness = new BalancerHarness().start().endpointList(A);
         harness.request("r");
         for (int i = 0; i < 50; i++) {
             harness.balancer.onEndpointList(
@@ -52,7 +52,7 @@
 
         assertEquals(1, harness.balancer.directory().size());
 
-        harness.list(B);
+        harness.endpointList(B);
 
         assertEquals(1, harness.balancer.directory().size());
     }
--- a/src/test/java/loadbalancer/balancing/UpstreamFixtures.java
+++ b/src/test/java/loadbalancer/balancing/UpstreamFixtures.java
@@ -4,7 +4,7 @@
 import loadbalancer.balancing.Balancer.Upstream;
 import loadbalancer.balancing.Balancer.UpstreamState;
 
-/** Entries of endpoint lists. */
+/** Test entries of endpoint lists. */
 final class UpstreamFixtures {
     static final Upstream A = BalancerHarness.upstream("a", "za", 1);
     static final Upstream B = BalancerHarness.upstream("b", "zb", 2);
@@ -16,12 +16,12 @@
                 listed.id(), listed.zone(), listed.machineType(), listed.cell(), listed.startedMicros(), 1, state);
     }
 
-    static Upstream uncertain(String id, String zone, Uncertainty uncertainty, long slowStartFromMicros) {
+    static Upstream uncertainUpstream(String id, String zone, Uncertainty uncertainty, long slowStartFromMicros) {
         return new Upstream(
                 id, zone, "k", 1, 0, 1, UpstreamState.READY, uncertainty, slowStartFromMicros, Balancer.HTTP1);
     }
 
-    static Upstream speaking(String id, int protocols) {
+    static Upstream upstreamSpeaking(String id, int protocols) {
         return new Upstream(id, "za", "k", 1, 0, 1, UpstreamState.READY, Uncertainty.NONE, 0, protocols);
     }
 }
