--- a/src/main/java/loadbalancer/balancing/BalancerContext.java
+++ b/src/main/java/loadbalancer/balancing/BalancerContext.java
@@ -19,7 +19,7 @@
     private static final double UNREPORTED_CORES = 2;
 
     /**
-     * Current settings; {@link Settings#reloadedFrom} says which of them may change.
+     * Current settings; {@link Settings#reloadedFrom} defines which of them may change.
      */
     Settings settings;
 
--- a/src/main/java/loadbalancer/balancing/ConnectionReuse.java
+++ b/src/main/java/loadbalancer/balancing/ConnectionReuse.java
@@ -54,10 +54,10 @@
         boolean newOrInUse = attempt.request.arrival.streaming()
                 || upstream.inFlight > 1
                 || unusedMicros > context.settings.limits().connectionIdleMicros();
-        attempt.idleMicros = newOrInUse ? 0 : unusedMicros;
-        if (attempt.idleMicros >= idleLimitMicros) {
+        attempt.connectionIdleMicros = newOrInUse ? 0 : unusedMicros;
+        if (attempt.connectionIdleMicros >= idleLimitMicros) {
             context.actions.closeIdleConnections(upstream.id);
-            attempt.idleMicros = 0;
+            attempt.connectionIdleMicros = 0;
         }
         upstream.lastUsedMicros = nowMicros;
     }
@@ -71,20 +71,20 @@
                     : idleLimitMicros * 2;
         }
         boolean successExpired = nowMicros - workingIdleObservedMicros > SUCCESS_EXPIRY_MICROS;
-        if (outcome == Outcome.OK && (attempt.idleMicros >= longestWorkingIdleMicros || successExpired)) {
-            longestWorkingIdleMicros = attempt.idleMicros;
+        if (outcome == Outcome.OK && (attempt.connectionIdleMicros >= longestWorkingIdleMicros || successExpired)) {
+            longestWorkingIdleMicros = attempt.connectionIdleMicros;
             workingIdleObservedMicros = nowMicros;
         }
         // A timeout may also be due to overload. It is suspect only if no connection that was idle for about
         // as long has recently worked.
         boolean idleTimeWorked = nowMicros - workingIdleObservedMicros < SUCCESS_EXPIRY_MICROS
-                && attempt.idleMicros * 3 / 4 <= longestWorkingIdleMicros;
+                && attempt.connectionIdleMicros * 3 / 4 <= longestWorkingIdleMicros;
         boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !idleTimeWorked;
-        if (!context.connectionSubset || !suspect || attempt.idleMicros < MIN_LIMIT_MICROS) {
+        if (!context.connectionSubset || !suspect || attempt.connectionIdleMicros < MIN_LIMIT_MICROS) {
             return false;
         }
         localDropMicros = nowMicros;
-        lowerIdleLimit(nowMicros, attempt.idleMicros * 3 / 4);
+        lowerIdleLimit(nowMicros, attempt.connectionIdleMicros * 3 / 4);
         return true;
     }
 
--- a/src/main/java/loadbalancer/balancing/FleetGossip.java
+++ b/src/main/java/loadbalancer/balancing/FleetGossip.java
@@ -14,8 +14,7 @@
     /** Interval between messages sent by this sidecar, microseconds. */
     static final long SEND_INTERVAL_MICROS = 500_000;
     /**
-     * Largest number of responses that count as evidence of a machine type's speed: more make it hardly
-     * surer.
+     * Number of responses that determine a machine type's speed well; further responses add no weight.
      */
     static final int MAX_COUNTED_RESPONSES = 40;
     /** Smallest gain with which the mean rates move towards this sidecar's rate at each message sent. */
--- a/src/main/java/loadbalancer/balancing/LoadEstimator.java
+++ b/src/main/java/loadbalancer/balancing/LoadEstimator.java
@@ -91,7 +91,7 @@
             overdue += !attempt.ended && late ? 1 : 0;
         }
         // Some upstreams count open streams as requests in flight. One that reports fewer requests than it
-        // has streams open does not.
+        // has open streams does not count them.
         double held = report.inFlight() - (report.inFlight() >= upstream.openStreams ? upstream.openStreams : 0);
         upstream.lostAttempts = (int) Math.min(overdue, Math.max(0, upstream.inFlight - Math.round(held)));
         upstream.peerInFlight = Math.max(0, held - upstream.inFlight);
--- a/src/main/java/loadbalancer/balancing/LoadSampling.java
+++ b/src/main/java/loadbalancer/balancing/LoadSampling.java
@@ -6,7 +6,7 @@
  */
 final class LoadSampling {
     /** Number of sampled pairs from which on an upstream without a free core is accepted. */
-    private static final int MAX_SAMPLED_PAIRS = 3;
+    private static final int MIN_PAIRS_FOR_BUSY_UPSTREAM = 3;
     /**
      * A load report is current until this many requests of other sidecars are expected to have arrived since.
      */
@@ -54,7 +54,7 @@
         if (request.firstCandidate == null && !drawPair(nowMicros, request, sampler, slowStarting)) {
             return null;
         }
-        if (!isPairKnown(nowMicros, request) && nowMicros - request.pairSampledMicros < PendingQueue.SWEEP_MICROS) {
+        if (!isPairLoadKnown(nowMicros, request) && nowMicros - request.pairSampledMicros < PendingQueue.SWEEP_MICROS) {
             return null;
         }
         TrackedUpstream best = best(nowMicros, request, false);
@@ -68,15 +68,15 @@
         request.firstCandidate = null;
         request.pairsSampled++;
         if (best != null
-                && (request.pairsSampled >= MAX_SAMPLED_PAIRS
+                && (request.pairsSampled >= MIN_PAIRS_FOR_BUSY_UPSTREAM
                         || capacity.hasCapacity(nowMicros, request, best, true))) {
             return best;
         }
-        if (request.pairsSampled < MAX_SAMPLED_PAIRS) {
+        if (request.pairsSampled < MIN_PAIRS_FOR_BUSY_UPSTREAM) {
             return pick(nowMicros, request, sampler, slowStarting);
         }
         // Sample less and less often, which bounds the health checks that a waiting request costs.
-        int doublings = Math.min(request.pairsSampled - MAX_SAMPLED_PAIRS, MAX_DELAY_DOUBLINGS);
+        int doublings = Math.min(request.pairsSampled - MIN_PAIRS_FOR_BUSY_UPSTREAM, MAX_DELAY_DOUBLINGS);
         request.nextPairMicros = nowMicros + (PendingQueue.SWEEP_MICROS << doublings);
         return null;
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    private boolean isPairKnown(long nowMicros, TrackedRequest request) {
+    private boolean isPairLoadKnown(long nowMicros, TrackedRequest request) {
         return isLoadKnown(nowMicros, request, request.firstCandidate)
                 && (request.secondCandidate == null || isLoadKnown(nowMicros, request, request.secondCandidate));
     }
--- a/src/main/java/loadbalancer/balancing/OpenRequests.java
+++ b/src/main/java/loadbalancer/balancing/OpenRequests.java
@@ -1,6 +1,6 @@
 package loadbalancer.balancing;
 
-/** Counts the open requests of a balancer, for tests that check for leaks; not used when serving requests. */
+/** Counts the open requests of a balancer, for simulations that check for leaks; not used in serving. */
 public final class OpenRequests {
     private OpenRequests() {}
 
--- a/src/main/java/loadbalancer/balancing/OutlierDetector.java
+++ b/src/main/java/loadbalancer/balancing/OutlierDetector.java
@@ -25,8 +25,8 @@
     private static final int MIN_EJECTIONS_AFTER_REJECTION = 2;
 
     /**
-     * Whether more than half of the ready upstreams are ejected: common failures say little about a single
-     * one.
+     * Whether more than half of the ready upstreams are ejected: failures of most upstreams do not show that
+     * a single one is at fault.
      */
     private boolean panicMode;
 
--- a/src/main/java/loadbalancer/balancing/SlowStart.java
+++ b/src/main/java/loadbalancer/balancing/SlowStart.java
@@ -12,8 +12,8 @@
     /** Number of slots that an overload window can overlap. */
     private static final double SLOTS_PER_WINDOW = 3;
     /**
-     * Slots to divide a window's budget among if loads are sampled; fewer, as each sidecar sees what others
-     * have sent.
+     * Divisor in place of that number if loads are sampled; lower, as each sidecar sees what others have
+     * sent.
      */
     private static final double SAMPLED_SLOTS_PER_WINDOW = 1.5;
 
--- a/src/main/java/loadbalancer/balancing/TrackedAttempt.java
+++ b/src/main/java/loadbalancer/balancing/TrackedAttempt.java
@@ -18,7 +18,7 @@
     /** Expected latency on an upstream of service-time factor 1, microseconds. */
     final double baselineLatencyMicros;
     /** Idle time of the connection before the send, microseconds; 0 if it was in use or new. */
-    long idleMicros;
+    long connectionIdleMicros;
 
     boolean ended;
     /** False once the outcome proves that the upstream has not processed it. */
--- a/src/main/java/loadbalancer/balancing/TrackedRequest.java
+++ b/src/main/java/loadbalancer/balancing/TrackedRequest.java
@@ -30,7 +30,7 @@
      */
     long queueOrderMicros;
     /**
-     * Random number in [0, 1); requests with low ones are the first to leave contended capacity to others.
+     * Random number in [0, 1); requests with low values are the first to leave contended capacity to others.
      */
     double contentionDraw;
 
--- a/src/main/java/loadbalancer/balancing/TwoChoices.java
+++ b/src/main/java/loadbalancer/balancing/TwoChoices.java
@@ -32,8 +32,7 @@
     }
 
     /**
-     * Draws an upstream with capacity by weight: makes a few random draws, then scans. Returns null if none
-     * has any.
+     * Draws an upstream with capacity by weight: makes a few random draws, then scans. Returns null if there is none.
      */
     TrackedUpstream draw(
             long nowMicros,
--- a/src/test/java/loadbalancer/balancing/ClassBackoffTest.java
+++ b/src/test/java/loadbalancer/balancing/ClassBackoffTest.java
@@ -11,8 +11,8 @@
 /** Tests the backoff of a request class on an upstream that does not respond to it. */
 class ClassBackoffTest {
     /**
-     * One of three upstreams responds to one class but never to the answeredClass. The unanswered class must
-     * be sent elsewhere apart from occasional tries.
+     * One of three upstreams responds to one class but never to the other. The unanswered class must be sent
+     * elsewhere apart from occasional tries.
      */
     @Test
     void backsOffFromAnUpstreamThatNeverRespondsToTheClassAndRetriesIt() {
@@ -51,7 +51,7 @@
             harness.advance(20_000);
         }
 
-        assertTrue(afterBackoff > 30, "expected more than 30 of 200 requests after the backoff, found " + afterBackoff);
+        assertTrue(afterBackoff > 30, "expected more than 30 of 200 requests at silent, found " + afterBackoff);
     }
 
     /**
