--- a/src/main/java/loadbalancer/benchmark/PolicyChangeBenchmark.java
+++ b/src/main/java/loadbalancer/benchmark/PolicyChangeBenchmark.java
@@ -101,22 +101,22 @@
 
     private static void changes(int members, double loss, int changes, List<String> shortfalls) {
         ConsensusSimulation r = fleet(members, loss, 1);
-        long messages = r.messages();
-        long bytes = r.bytes();
+        long messages = r.sentMessages();
+        long bytes = r.sentBytes();
         r.run(20 * S);
-        double restMessages = (r.messages() - messages) / 20.0 / members;
-        double restBytes = (r.bytes() - bytes) / 20.0 / members;
+        double restMessages = (r.sentMessages() - messages) / 20.0 / members;
+        double restBytes = (r.sentBytes() - bytes) / 20.0 / members;
         long[] commit = new long[changes];
         long[] all = new long[changes];
         double each = 0;
         for (int c = 0; c < changes; c++) {
             int by = c % members;
-            messages = r.messages();
+            messages = r.sentMessages();
             long version = r.propose(by, policy(c % 2));
             commit[c] = r.runUntil(() -> r.hasAdopted(by, version), 30 * S);
             long rest = r.runUntil(() -> r.allHaveAdopted(ALL, version), 30 * S);
             all[c] = commit[c] + rest;
-            each += (double) (r.messages() - messages) / members / changes;
+            each += (double) (r.sentMessages() - messages) / members / changes;
             Shortfalls.check(
                     shortfalls,
                     commit[c] >= 0 && rest >= 0,
--- a/src/main/java/loadbalancer/capacity/MinimalSidecar.java
+++ b/src/main/java/loadbalancer/capacity/MinimalSidecar.java
@@ -107,7 +107,7 @@
     boolean sure() {
         return consensus != null
                 && !silent
-                && consensus.hasLearned()
+                && consensus.hasLearnedStage()
                 && consensus.activeStage(clock.nowMicros()).leaseValid();
     }
 
--- a/src/main/java/loadbalancer/consensus/ConsensusNode.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusNode.java
@@ -75,13 +75,13 @@
         return ActiveStage.of(holder.era(), holder.lastStage(), holder.stage(nowMicros) != null);
     }
 
-    /** When its last lease expires, or expired; only valid once it {@link #hasLearned}. */
+    /** When its last lease expires, or expired; only valid once it {@link #hasLearnedStage}. */
     public long leaseExpiryMicros() {
         return participant.leaseHolder().expiryMicros();
     }
 
     /** Whether it has ever learned a stage; before that its process is not ready. */
-    public boolean hasLearned() {
+    public boolean hasLearnedStage() {
         return participant.leaseHolder().lastStage() != null;
     }
 
@@ -179,7 +179,7 @@
 
     /** Renews at random times, so that members that start together do not ask at the same time. */
     private void renew(long nowMicros, Outbox outbox) {
-        boolean settledIn = hasLearned() && (participant.voter() == null || participant.canVote());
+        boolean settledIn = hasLearnedStage() && (participant.voter() == null || participant.canVote());
         long intervalMicros =
                 settledIn ? renewalIntervalMicros : Math.min(renewalIntervalMicros, 4 * RESEND_INTERVAL_MICROS);
         renewalAtMicros = nowMicros + intervalMicros / 2 + random.nextLong(intervalMicros / 2 + 1);
--- a/src/main/java/loadbalancer/consensus/ConsensusSimulation.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusSimulation.java
@@ -37,8 +37,8 @@
     /** Members of different sides receive nothing from each other. */
     private IntPredicate otherSide = member -> false;
 
-    private long messages;
-    private long bytes;
+    private long sentMessages;
+    private long sentBytes;
     private long jointSinceMicros = NOT_JOINT;
     private long longestJointMicros;
 
@@ -137,8 +137,8 @@
 
     private DatagramSender senderOf(int from) {
         return (to, datagram) -> {
-            messages++;
-            bytes += datagram.length;
+            sentMessages++;
+            sentBytes += datagram.length;
             if (otherSide.test(from) != otherSide.test(to) || random.nextDouble() < lossRate) {
                 return;
             }
@@ -254,13 +254,13 @@
     }
 
     /** Messages sent so far, lost ones included. */
-    public long messages() {
-        return messages;
+    public long sentMessages() {
+        return sentMessages;
     }
 
     /** Bytes of those messages. */
-    public long bytes() {
-        return bytes;
+    public long sentBytes() {
+        return sentBytes;
     }
 
     /** The longest time for which a joint stage was active at any member. */
--- a/src/main/java/loadbalancer/consensus/Subscription.java
+++ b/src/main/java/loadbalancer/consensus/Subscription.java
@@ -33,7 +33,7 @@
     }
 
     /** Whether it has ever learned a stage; before that its process is not ready. */
-    public boolean hasLearned() {
+    public boolean hasLearnedStage() {
         return subscriber.lastStage() != null;
     }
 
--- a/src/main/java/loadbalancer/control/ControlClient.java
+++ b/src/main/java/loadbalancer/control/ControlClient.java
@@ -97,7 +97,7 @@
 
     /** Whether it has learned a stage of each scope. */
     public boolean isReady() {
-        return subscriptions.values().stream().allMatch(Subscription::hasLearned);
+        return subscriptions.values().stream().allMatch(Subscription::hasLearnedStage);
     }
 
     /** The replica that it asks now. */
--- a/src/main/java/loadbalancer/sidecar/FleetConsensusSource.java
+++ b/src/main/java/loadbalancer/sidecar/FleetConsensusSource.java
@@ -29,7 +29,7 @@
 
     @Override
     public boolean hasLearned() {
-        return node.hasLearned();
+        return node.hasLearnedStage();
     }
 
     @Override
--- a/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
@@ -33,7 +33,8 @@
             makeChange(change);
         }
         simulation.run(10 * SECOND_MICROS);
-        return "messages " + simulation.messages() + "; bytes " + simulation.bytes() + "; us " + times + "; joint us "
+        return "messages " + simulation.sentMessages() + "; bytes " + simulation.sentBytes() + "; us " + times
+                + "; joint us "
                 + simulation.longestJointMicros() + "; voters that remember " + simulation.votersWithMemory()
                 + "; versions " + adoptedChecksum() + "; breaches "
                 + simulation.violations().size();
