--- a/src/main/java/loadbalancer/consensus/ActiveStage.java
+++ b/src/main/java/loadbalancer/consensus/ActiveStage.java
@@ -3,11 +3,12 @@
 /**
  * The stage that a process decides by.
  *
- * @param era identifies the voters' shared memory; a new one begins when all voters have lost theirs
+ * @param era identifies a period in which the voters have not lost their state; a new era begins when all voters have
+ *     lost it
  * @param index position of the stage in its era; -1 before any stage is known
  * @param oldVersion version of the previous stage; equal to {@code newVersion} in a settled stage
  * @param newVersion version that the stage introduces; 0 before anything has been agreed on
- * @param leaseValid false if the process may have missed a change, and so only knows what was active last
+ * @param leaseValid false if the process may have missed a change, and so only knows which stage was active last
  */
 public record ActiveStage(long era, long index, long oldVersion, long newVersion, boolean leaseValid) {
     /** Whether both versions are active, so that the stricter of the two applies. */
@@ -15,7 +16,10 @@
         return oldVersion != newVersion;
     }
 
-    /** Whether two processes may decide by these at the same time. Without a valid lease a process decides by neither. */
+    /**
+     * Whether two processes may decide by these stages at the same time. A process without a valid lease decides by no
+     * stage.
+     */
     public boolean isCompatibleWith(ActiveStage other) {
         return !leaseValid || !other.leaseValid || stage().isCompatibleWith(other.stage(), era == other.era);
     }
--- a/src/main/java/loadbalancer/consensus/BreadthFirstSearch.java
+++ b/src/main/java/loadbalancer/consensus/BreadthFirstSearch.java
@@ -10,34 +10,35 @@
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
 /**
- * All schedules in the order of their length. Messages are delivered in any order or not at all, processes lead and crash, and where nothing is
- * in transit they ask again and go on. A process receives its own messages at once, as in {@link ConsensusNode}, and equal messages are merged:
- * neither leaves out a schedule with a different outcome.
+ * Explores all schedules in the order of their length. Messages are delivered in any order or not at all, members lead
+ * and crash, and while no message is in transit, processes ask for leases and leaders take their next step. A process
+ * receives its own messages at once, as in {@link ConsensusNode}, and equal messages are merged; neither omits a
+ * schedule with a different outcome.
  */
 final class BreadthFirstSearch {
     private final GroupConfig group;
     private final int subscribers;
-    private final Set<String> seen = new HashSet<>();
-    private final ArrayDeque<Node> open = new ArrayDeque<>();
+    private final Set<String> visited = new HashSet<>();
+    private final ArrayDeque<Node> frontier = new ArrayDeque<>();
 
     /**
      * How often an event may still occur in a schedule.
      *
      * @param crashes of any member
-     * @param leads by any voter
+     * @param leaderStarts how often any voter may start to lead
      * @param ticks of the clock
      */
-    record Budget(int crashes, int leads, int ticks) {
+    record Budget(int crashes, int leaderStarts, int ticks) {
         Budget after(ExplorerEvent event) {
             return new Budget(
                     crashes - (event.kind() == Kind.CRASH ? 1 : 0),
-                    leads - (event.kind() == Kind.LEAD ? 1 : 0),
+                    leaderStarts - (event.kind() == Kind.LEAD ? 1 : 0),
                     ticks - (event.kind() == Kind.TICK ? 1 : 0));
         }
     }
 
-    /** A state, and the event that led to it; without one at the start. */
-    private record Node(ExplorerScene scene, Node previous, ExplorerEvent event, int depth, Budget budget) {
+    /** A state and the event that led to it, which is null at the start. */
+    private record Node(ExplorerState state, Node previous, ExplorerEvent event, int depth, Budget budget) {
         List<String> schedule() {
             List<String> events = new ArrayList<>();
             for (Node node = this; node.event != null; node = node.previous) {
@@ -47,7 +48,8 @@
         }
 
         String digest() {
-            return BreadthFirstSearch.digest(scene.describe() + budget.crashes() + budget.leads() + budget.ticks());
+            return BreadthFirstSearch.digest(
+                    state.describe() + budget.crashes() + budget.leaderStarts() + budget.ticks());
         }
     }
 
@@ -56,52 +58,52 @@
         this.subscribers = subscribers;
     }
 
-    /** Searches until there are no more states, {@code maxStates} were found, or an invariant is violated. */
-    Exploration search(ExplorerScene start, Budget budget, int maxStates) {
-        open.add(new Node(start, null, null, 0, budget));
+    /** Searches until there are no more states, {@code maxStates} have been found, or an invariant is violated. */
+    Exploration search(ExplorerState start, Budget budget, int maxStates) {
+        frontier.add(new Node(start, null, null, 0, budget));
         int depth = 0;
-        while (!open.isEmpty()) {
-            Node node = open.poll();
+        while (!frontier.isEmpty()) {
+            Node node = frontier.poll();
             depth = node.depth;
-            for (ExplorerEvent event : successors(node)) {
-                Node next = follow(node, event);
-                if (next.scene.violation != null) {
-                    Violation violation = new Violation(next.scene.violation, next.schedule());
-                    return new Exploration(seen.size(), next.depth, false, violation);
+            for (ExplorerEvent event : possibleEvents(node)) {
+                Node next = nodeAfter(node, event);
+                if (next.state.violation != null) {
+                    Violation violation = new Violation(next.state.violation, next.schedule());
+                    return new Exploration(visited.size(), next.depth, false, violation);
                 }
-                if (seen.add(next.digest())) {
-                    if (seen.size() >= maxStates) {
-                        return new Exploration(seen.size(), depth, false, null);
+                if (visited.add(next.digest())) {
+                    if (visited.size() >= maxStates) {
+                        return new Exploration(visited.size(), depth, false, null);
                     }
-                    open.add(next);
+                    frontier.add(next);
                 }
             }
         }
-        return new Exploration(seen.size(), depth, true, null);
+        return new Exploration(visited.size(), depth, true, null);
     }
 
-    private static Node follow(Node node, ExplorerEvent event) {
-        ExplorerScene scene = new ExplorerScene(node.scene);
-        scene.apply(event);
-        scene.deliverLoopback();
-        return new Node(scene, node, event, node.depth + 1, node.budget.after(event));
+    private static Node nodeAfter(Node node, ExplorerEvent event) {
+        ExplorerState state = new ExplorerState(node.state);
+        state.apply(event);
+        state.deliverLoopback();
+        return new Node(state, node, event, node.depth + 1, node.budget.after(event));
     }
 
-    private List<ExplorerEvent> successors(Node node) {
-        ExplorerScene scene = node.scene;
+    private List<ExplorerEvent> possibleEvents(Node node) {
+        ExplorerState state = node.state;
         Budget budget = node.budget;
-        boolean idle = scene.inTransit.isEmpty();
+        boolean idle = state.inTransit.isEmpty();
         List<ExplorerEvent> next = new ArrayList<>();
-        scene.inTransit.forEach(envelope -> next.add(ExplorerEvent.on(Kind.DELIVER, envelope)));
+        state.inTransit.forEach(envelope -> next.add(ExplorerEvent.on(Kind.DELIVER, envelope)));
         for (int member = 0; member < group.members(); member++) {
             if (budget.crashes() > 0) {
                 next.add(ExplorerEvent.of(Kind.CRASH, member));
             }
-            if (budget.leads() > 0 && member < group.voters()) {
-                next.add(ExplorerEvent.lead(member, budget.leads()));
+            if (budget.leaderStarts() > 0 && member < group.voters()) {
+                next.add(ExplorerEvent.lead(member, budget.leaderStarts()));
             }
             if (idle) {
-                next.add(ExplorerEvent.of(scene.members[member].leader() != null ? Kind.STEP : Kind.RENEW, member));
+                next.add(ExplorerEvent.of(state.members[member].leader() != null ? Kind.STEP : Kind.RENEW, member));
             }
         }
         for (int index = 0; index < subscribers && idle; index++) {
@@ -115,7 +117,7 @@
         return next;
     }
 
-    /** 128 bits in place of the complete text, to save memory. */
+    /** Hashes the text of a state to 128 bits, to save memory. */
     private static String digest(String state) {
         long high = 1;
         long low = 7;
--- a/src/main/java/loadbalancer/consensus/ConsensusNode.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusNode.java
@@ -8,14 +8,18 @@
 import java.util.function.Function;
 
 /**
- * One member of a group that agrees on a configuration version: a {@link Participant} with its timers, its datagrams and the contents of
- * versions. No request waits for it: whoever decides reads {@link #activeStage} and goes on. Pure, times are in microseconds of a monotonic
- * clock; not thread-safe.
+ * A member of a group that agrees on a configuration version: a {@link Participant} with its timers, the encoding of
+ * its messages as datagrams, and the contents of versions. Agreement is off the request path: routing decisions read
+ * {@link #activeStage} and wait for nothing. Does no I/O; times are in microseconds of a monotonic clock. Not
+ * thread-safe.
  */
 public final class ConsensusNode {
     private static final int RENEWALS_PER_LEASE = 3;
     private static final long RESEND_INTERVAL_MICROS = 60_000;
-    /** Without progress for this time, plus once more for each voter before it, a voter completes an unfinished change. */
+    /**
+     * A voter completes an unfinished change after this time without progress, plus once more for each voter with a
+     * lower number.
+     */
     private static final long LEADER_TIMEOUT_MICROS = 700_000;
 
     private static final long PROPOSAL_TIMEOUT_MICROS = 20_000_000;
@@ -27,7 +31,7 @@
     private final ContentStore contents;
     private final SplittableRandom random;
     private final long renewalIntervalMicros;
-    /** Messages to itself, which go through no datagram. */
+    /** Messages that this member sends to itself, which are not encoded as datagrams. */
     private final ArrayDeque<Message> loopback = new ArrayDeque<>();
 
     private long renewalAtMicros;
@@ -35,7 +39,10 @@
     private Stage lastAccepted;
     private long lastProgressMicros;
     private long droppedMessages;
-    /** Proposed here and not active yet. */
+    /**
+     * The version last proposed at this member; {@link Stage#NO_VERSION} once it is active, rejected, aborted or timed
+     * out.
+     */
     private long pendingVersion = Stage.NO_VERSION;
 
     private long proposalDeadlineMicros;
@@ -44,11 +51,11 @@
     private String rejectionReason;
 
     /**
-     * A member without memory.
+     * Creates a member whose process has just started and has no state yet.
      *
-     * @param memberId number of this member; voters have the lowest
+     * @param memberId number of this member; the voters have the lowest numbers
      * @param seed different for each process
-     * @param validator why a content can't be applied here; null if it can
+     * @param validator returns why this process can't apply a content, or null if it can
      */
     public ConsensusNode(
             ConsensusGroup consensusGroup,
@@ -69,43 +76,46 @@
         lastProgressMicros = nowMicros;
     }
 
-    /** The stage to decide by. */
+    /** Returns the stage that this member decides by. */
     public ActiveStage activeStage(long nowMicros) {
         LeaseHolder holder = participant.leaseHolder();
-        return ActiveStage.of(holder.era(), holder.lastStage(), holder.stage(nowMicros) != null);
+        return ActiveStage.of(holder.era(), holder.lastStage(), holder.leasedStage(nowMicros) != null);
     }
 
-    /** When its last lease expires, or expired; only valid once it {@link #hasLearnedStage}. */
+    /** Returns when the last lease expires or expired; only valid once {@link #hasLearnedStage}. */
     public long leaseExpiryMicros() {
         return participant.leaseHolder().expiryMicros();
     }
 
-    /** Whether it has ever learned a stage; before that its process is not ready. */
+    /** Whether this member has ever adopted a stage; until then its process is not ready. */
     public boolean hasLearnedStage() {
         return participant.leaseHolder().lastStage() != null;
     }
 
-    /** Whether it has a vote and the memory to use it. */
+    /**
+     * Whether this member is a voter that has recovered its state, or bootstrapped a new era, since its process
+     * started.
+     */
     public boolean canVote() {
         return participant.canVote();
     }
 
-    /** Datagrams that were malformed, of another group, or not allowed from their sender. */
+    /** Returns how many datagrams were dropped as malformed, of another group, or not allowed from their sender. */
     public long droppedMessages() {
         return droppedMessages;
     }
 
-    /** The version that names a content. */
+    /** Returns the version that identifies a content. */
     public static long versionOf(byte[] content) {
         return ContentStore.versionOf(content);
     }
 
-    /** The content of a version, if it is here. */
+    /** Returns the content of a version, if this process has it. */
     public Optional<byte[]> content(long version) {
         return contents.get(version);
     }
 
-    /** Proposes a content; why it is rejected, if it can't be applied here. */
+    /** Proposes a content. Returns why the content is rejected if this process can't apply it, otherwise empty. */
     public Optional<String> propose(long nowMicros, byte[] content, DatagramSender sender) {
         OptionalLong version = contents.put(content);
         if (version.isEmpty()) {
@@ -119,7 +129,7 @@
         return Optional.empty();
     }
 
-    /** Asks for an unfinished change to be rolled back. */
+    /** Requests that an unfinished change is rolled back. */
     public void abort(long nowMicros, DatagramSender sender) {
         pendingVersion = Stage.NO_VERSION;
         requestChange(nowMicros, Stage.NO_VERSION, true, sender);
@@ -137,29 +147,29 @@
         stepAtMicros = Math.min(stepAtMicros, nowMicros + RESEND_INTERVAL_MICROS);
     }
 
-    /** Whether the last proposal made here is neither active, rejected, nor timed out. */
+    /** Whether the last proposal made at this member is not yet active, rejected, aborted or timed out. */
     public boolean isProposalPending() {
         return pendingVersion != Stage.NO_VERSION;
     }
 
-    /** Which process rejected the last proposal made here and why, if one did. */
+    /** Returns which process rejected the last proposal made at this member and why, if one did. */
     public Optional<String> rejectionReason() {
         return Optional.ofNullable(rejectionReason);
     }
 
-    /** Numbers of the members that the change led by this process waits for; empty if it leads none. */
+    /** Returns the numbers of the members that the change led by this member waits for; empty if it does not lead. */
     public BitSet awaitedMembers() {
         return participant.leader() == null
                 ? new BitSet()
                 : participant.leader().awaitedMembers();
     }
 
-    /** When {@link #tick} is due next. */
+    /** Returns when {@link #tick} is due next. */
     public long nextTickMicros() {
         return Math.min(renewalAtMicros, stepAtMicros);
     }
 
-    /** Does what is due: renews the lease, sends again what is unanswered, and completes abandoned changes. */
+    /** Does the work that is due: renews the lease, resends unanswered messages, and completes abandoned changes. */
     public void tick(long nowMicros, DatagramSender sender) {
         Outbox outbox = outboxTo(sender);
         if (nowMicros >= renewalAtMicros) {
@@ -177,16 +187,19 @@
         drainLoopback(nowMicros, outbox);
     }
 
-    /** Renews at random times, so that members that start together do not ask at the same time. */
+    /** Renews the lease at random intervals, so that members that started together do not ask at the same time. */
     private void renew(long nowMicros, Outbox outbox) {
-        boolean settledIn = hasLearnedStage() && (participant.voter() == null || participant.canVote());
+        boolean initialized = hasLearnedStage() && (participant.voter() == null || participant.canVote());
         long intervalMicros =
-                settledIn ? renewalIntervalMicros : Math.min(renewalIntervalMicros, 4 * RESEND_INTERVAL_MICROS);
+                initialized ? renewalIntervalMicros : Math.min(renewalIntervalMicros, 4 * RESEND_INTERVAL_MICROS);
         renewalAtMicros = nowMicros + intervalMicros / 2 + random.nextLong(intervalMicros / 2 + 1);
         participant.renew(nowMicros, outbox);
     }
 
-    /** Proposes again until the version is active or the deadline passes: the message may be lost, and the leader may crash. */
+    /**
+     * Proposes again until the version is active or the deadline passes, because the proposal may be lost and the
+     * leader may crash.
+     */
     private void retryProposal(long nowMicros, DatagramSender sender) {
         if (!isProposalPending()) {
             return;
@@ -219,9 +232,9 @@
     }
 
     /**
-     * Takes a datagram.
+     * Handles a received datagram.
      *
-     * @param from number of its sender; members have the lowest, subscribers those above
+     * @param from number of the sender; members have the lowest numbers, subscribers higher ones
      */
     public void receive(long nowMicros, int from, byte[] datagram, DatagramSender sender) {
         Optional<Message> decoded = from < 0 ? Optional.empty() : codec.decode(datagram);
@@ -234,13 +247,13 @@
         if (from >= group.members()) {
             receiveFromSubscriber(nowMicros, from, message, outbox);
         } else {
-            noteProgress(nowMicros, message);
+            recordProgress(nowMicros, message);
             receiveFromMember(nowMicros, from, message, outbox);
         }
         drainLoopback(nowMicros, outbox);
     }
 
-    private void noteProgress(long nowMicros, Message message) {
+    private void recordProgress(long nowMicros, Message message) {
         if (message instanceof Message.Prepare
                 || message instanceof Message.Accept
                 || message instanceof Message.Chosen) {
@@ -267,9 +280,9 @@
             return;
         }
         if (message instanceof Message.Propose propose && from != memberId) {
-            contents.announced(propose.version(), from);
+            contents.recordAnnouncement(propose.version(), from);
         } else if (message instanceof Message.Validate validate && from != memberId) {
-            contents.announced(validate.version(), from);
+            contents.recordAnnouncement(validate.version(), from);
         } else if (message instanceof Message.Invalid invalid
                 && invalid.version() == pendingVersion
                 && participant.leader() == null) {
@@ -283,12 +296,12 @@
         }
     }
 
-    /** Which register a datagram claims to be for; 0 if it is too short to tell. Not verified. */
+    /** Returns the register id in a datagram's header, which is not verified; 0 if the datagram is too short. */
     public static int registerIdOf(byte[] datagram) {
         return MessageCodec.registerIdOf(datagram);
     }
 
-    /** Whether a datagram is a message of this package, by its first byte. */
+    /** Whether a datagram's first byte marks it as a message of this package. */
     public static boolean isMessage(byte[] datagram) {
         return MessageCodec.isMessage(datagram);
     }
--- a/src/main/java/loadbalancer/consensus/ConsensusSimulation.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusSimulation.java
@@ -9,8 +9,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * {@link ConsensusNode}s on virtual time, with a network that loses, delays, duplicates and partitions, and members that crash and restart
- * without memory. After each event it checks that no two members with a valid lease decide by incompatible versions. The same seed gives the
+ * Simulates a group of {@link ConsensusNode}s on virtual time, with a network that loses, delays and duplicates
+ * messages and can be partitioned, and with members that crash and restart without their state. After each event the
+ * simulation checks that no two members with a valid lease decide by incompatible versions. The same seed gives the
  * same result.
  */
 public final class ConsensusSimulation {
@@ -26,7 +27,7 @@
     private final VirtualTime time = new VirtualTime(START_MICROS);
     /** By member; null while its process is not running. */
     private final ConsensusNode[] nodes;
-    /** How many processes each member has had, stopped ones included; events for an earlier one are dropped. */
+    /** Incremented whenever a member's process starts or stops; events for an earlier incarnation are dropped. */
     private final int[] incarnations;
 
     private final long[] pausedUntilMicros;
@@ -34,23 +35,23 @@
     private double lossRate;
     private double duplicationRate;
     private long meanDelayMicros = 5_000;
-    /** Members of different sides receive nothing from each other. */
-    private IntPredicate otherSide = member -> false;
+    /** Divides the members into two sides that receive nothing from each other. */
+    private IntPredicate partitionSide = member -> false;
 
     private long sentMessages;
     private long sentBytes;
     private long jointSinceMicros = NOT_JOINT;
     private long longestJointMicros;
 
-    /** Members that accept every content. */
+    /** Creates a group whose members accept every content. */
     public ConsensusSimulation(int voters, int members, long leaseMicros, long seed) {
         this(voters, members, leaseMicros, seed, member -> content -> null);
     }
 
     /**
-     * Members that start at random times within the first second.
+     * Creates a group whose members start at random times within the first second.
      *
-     * @param validators why a member, by its number, can't apply a content; null if it can
+     * @param validators by member number, returns why the member can't apply a content, or null if it can
      */
     public ConsensusSimulation(
             int voters, int members, long leaseMicros, long seed, IntFunction<Function<byte[], String>> validators) {
@@ -71,7 +72,7 @@
      * Changes the network's faults.
      *
      * @param newLossRate fraction of the messages that is lost
-     * @param newDuplicationRate fraction of the others that arrives twice
+     * @param newDuplicationRate fraction of the other messages that arrives twice
      */
     public void setNetwork(double newLossRate, double newDuplicationRate, long newMeanDelayMicros) {
         lossRate = newLossRate;
@@ -81,10 +82,10 @@
 
     /** Separates these members from the others. */
     public void partition(IntPredicate side) {
-        otherSide = side;
+        partitionSide = side;
     }
 
-    /** Starts a process of a member without memory, in place of its present one if any. */
+    /** Starts a new process of a member without state, in place of its present one if any. */
     public void start(int member) {
         incarnations[member]++;
         pausedUntilMicros[member] = 0;
@@ -103,7 +104,7 @@
         nodes[member] = null;
     }
 
-    /** Stops a member for a time; what arrives meanwhile is delivered afterwards. */
+    /** Pauses a member; messages that arrive meanwhile are delivered afterwards. */
     public void pause(int member, long durationMicros) {
         pausedUntilMicros[member] = time.nowMicros() + durationMicros;
     }
@@ -139,7 +140,7 @@
         return (to, datagram) -> {
             sentMessages++;
             sentBytes += datagram.length;
-            if (otherSide.test(from) != otherSide.test(to) || random.nextDouble() < lossRate) {
+            if (partitionSide.test(from) != partitionSide.test(to) || random.nextDouble() < lossRate) {
                 return;
             }
             int copies = random.nextDouble() < duplicationRate ? 2 : 1;
@@ -157,7 +158,7 @@
     private void checkInvariant() {
         ActiveStage settled = null;
         ActiveStage joint = null;
-        ActiveStage otherSettled = null;
+        ActiveStage conflictingSettled = null;
         for (int member = 0; member < nodes.length; member++) {
             if (nodes[member] == null || isPaused(member)) {
                 continue;
@@ -169,7 +170,7 @@
             if (active.isJoint()) {
                 joint = active;
             } else if (settled != null && settled.newVersion() != active.newVersion()) {
-                otherSettled = active;
+                conflictingSettled = active;
             } else {
                 settled = active;
             }
@@ -178,14 +179,14 @@
                 && joint != null
                 && joint.oldVersion() != settled.newVersion()
                 && joint.newVersion() != settled.newVersion();
-        if ((otherSettled != null || uncovered) && violations.size() < MAX_VIOLATIONS) {
+        if ((conflictingSettled != null || uncovered) && violations.size() < MAX_VIOLATIONS) {
             violations.add(
-                    "ONE_POLICY at " + time.nowMicros() + " us: " + settled + ", " + joint + ", " + otherSettled);
+                    "ONE_POLICY at " + time.nowMicros() + " us: " + settled + ", " + joint + ", " + conflictingSettled);
         }
-        recordJoint(joint != null);
+        recordJointDuration(joint != null);
     }
 
-    private void recordJoint(boolean joint) {
+    private void recordJointDuration(boolean joint) {
         if (!joint && jointSinceMicros != NOT_JOINT) {
             longestJointMicros = Math.max(longestJointMicros, time.nowMicros() - jointSinceMicros);
             jointSinceMicros = NOT_JOINT;
@@ -194,28 +195,33 @@
         }
     }
 
-    /** Runs until a condition holds; the time that this took, or -1 if it did not hold within {@code timeoutMicros}. */
+    /**
+     * Runs until a condition holds. Returns the elapsed time, or -1 if the condition did not hold within {@code
+     * timeoutMicros}.
+     */
     public long runUntil(BooleanSupplier condition, long timeoutMicros) {
         return time.runUntil(condition, timeoutMicros);
     }
 
-    /** Runs for a time. */
+    /** Runs for a duration. */
     public void run(long durationMicros) {
         time.run(durationMicros);
     }
 
-    /** Proposes a content at a running member and returns its version; a rejection is read from its {@link #node}. */
+    /**
+     * Proposes a content at a running member and returns its version. Its {@link #node} tells whether it is rejected.
+     */
     public long propose(int member, byte[] content) {
         nodes[member].propose(time.nowMicros(), content, senderOf(member));
         return ContentStore.versionOf(content);
     }
 
-    /** The process of a member; null if it is not running. */
+    /** Returns the node of a member; null if its process is not running. */
     public ConsensusNode node(int member) {
         return nodes[member];
     }
 
-    /** The stage that a running member decides by. */
+    /** Returns the stage that a running member decides by. */
     ActiveStage activeStage(int member) {
         return nodes[member].activeStage(time.nowMicros());
     }
@@ -229,7 +235,7 @@
         return !active.isJoint() && active.newVersion() == version;
     }
 
-    /** Whether all selected members have. */
+    /** Whether all selected members have a valid lease on a settled stage with this version. */
     public boolean allHaveAdopted(IntPredicate selected, long version) {
         for (int member = 0; member < nodes.length; member++) {
             if (selected.test(member) && !hasAdopted(member, version)) {
@@ -239,8 +245,8 @@
         return true;
     }
 
-    /** Voters that run and have kept or recovered their memory. */
-    public int votersWithMemory() {
+    /** Returns how many voters are running and have kept or recovered their state. */
+    public int activeVoters() {
         int count = 0;
         for (int voter = 0; voter < voters; voter++) {
             count += nodes[voter] != null && nodes[voter].canVote() ? 1 : 0;
@@ -253,22 +259,22 @@
         return nodes[member] != null && activeStage(member).leaseValid();
     }
 
-    /** Messages sent so far, lost ones included. */
+    /** Returns how many messages have been sent so far, lost ones included. */
     public long sentMessages() {
         return sentMessages;
     }
 
-    /** Bytes of those messages. */
+    /** Returns how many bytes have been sent so far, lost messages included. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** The longest time for which a joint stage was active at any member. */
+    /** Returns the longest time for which a joint stage was active at any member. */
     public long longestJointMicros() {
         return longestJointMicros;
     }
 
-    /** Violations of the invariant, up to a bound. */
+    /** Returns the violations of the invariant, up to a maximum number. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
--- a/src/main/java/loadbalancer/consensus/ConsensusSoak.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusSoak.java
@@ -5,19 +5,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Changes among random faults on a {@link ConsensusSimulation}: members crash, restart, pause and are partitioned, voters among them, and
- * messages are lost and duplicated. In the end all faults are over. The same seed gives the same result.
+ * Soak test on a {@link ConsensusSimulation}: proposes changes while members, voters included, crash, restart, pause
+ * and are partitioned, and messages are lost and duplicated. At the end all members run and are connected. The same
+ * seed gives the same result.
  */
 public final class ConsensusSoak {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int STEPS = 25;
-    private static final int NONE = -1;
+    private static final int NO_MEMBER = -1;
 
     private final ConsensusSimulation simulation;
     private final int voters;
     private final int members;
     private final SplittableRandom random;
-    private int crashed = NONE;
+    private int crashedMember = NO_MEMBER;
 
     private ConsensusSoak(int voters, int members, long leaseMicros, long seed) {
         this.voters = voters;
@@ -27,7 +28,7 @@
         simulation.setNetwork(0.05, 0.05, 5_000);
     }
 
-    /** Runs one soak; the invariants that it violates, each with a description. */
+    /** Runs one soak test. Returns a description of each violated invariant. */
     public static List<String> run(int voters, int members, long leaseMicros, long seed) {
         return new ConsensusSoak(voters, members, leaseMicros, seed).run();
     }
@@ -35,20 +36,20 @@
     private List<String> run() {
         simulation.run(5 * SECOND_MICROS);
         for (int step = 0; step < STEPS; step++) {
-            step();
+            injectFaultOrPropose();
             simulation.run(random.nextLong(2 * SECOND_MICROS));
         }
-        if (crashed != NONE) {
-            simulation.start(crashed);
+        if (crashedMember != NO_MEMBER) {
+            simulation.start(crashedMember);
         }
         simulation.partition(member -> false);
         simulation.run(30 * SECOND_MICROS);
         return violations();
     }
 
-    private void step() {
+    private void injectFaultOrPropose() {
         int selected = random.nextInt(members);
-        int running = selected == crashed ? (selected + 1) % members : selected;
+        int running = selected == crashedMember ? (selected + 1) % members : selected;
         switch (random.nextInt(6)) {
             case 0 -> crash(selected);
             case 1 -> simulation.pause(running, random.nextLong(10 * SECOND_MICROS));
@@ -62,22 +63,25 @@
     }
 
     private void crash(int member) {
-        if (crashed != NONE) {
-            simulation.start(crashed);
+        if (crashedMember != NO_MEMBER) {
+            simulation.start(crashedMember);
             simulation.run(2 * SECOND_MICROS);
         }
         simulation.kill(member);
-        crashed = member;
+        crashedMember = member;
     }
 
-    /** If a majority of the voters has lost its memory, one after the other while partitioned, nothing has to be decided any more. */
+    /**
+     * If a majority of the voters has lost its state, one after the other during a partition, the group can't decide
+     * anything any more, so adoption is checked only if a majority has its state.
+     */
     private List<String> violations() {
         List<String> violations = new ArrayList<>(simulation.violations());
         long version = simulation.activeStage(0).newVersion();
-        boolean majorityRemembers = 2 * simulation.votersWithMemory() > voters;
+        boolean majorityRemembers = 2 * simulation.activeVoters() > voters;
         if (majorityRemembers && !simulation.allHaveAdopted(member -> true, version)) {
-            violations.add("EVERYWHERE_OR_NOWHERE: not all members have adopted " + version + " in the end; "
-                    + simulation.votersWithMemory() + " voters with memory");
+            violations.add("EVERYWHERE_OR_NOWHERE: not all members have adopted " + version + " at the end; "
+                    + simulation.activeVoters() + " active voters");
         }
         return violations;
     }
--- a/src/main/java/loadbalancer/consensus/ContentStore.java
+++ b/src/main/java/loadbalancer/consensus/ContentStore.java
@@ -13,9 +13,10 @@
 import java.util.function.Function;
 
 /**
- * The contents of versions. A version is the first half of its content's SHA-256, so it names one content and chunks from any source either
- * make up that content or are discarded. Bounded: {@link #MAX_CACHED} contents of {@link #MAX_CONTENT_BYTES} each, of which
- * {@link #MAX_DOWNLOADS} more may be downloading. Pure.
+ * Caches and downloads the contents of versions. A version is the first 64 bits of its content's SHA-256, so it
+ * identifies one content, and chunks from any source either make up that content or are discarded. Holds at most {@link
+ * #MAX_CACHED} contents and {@link #MAX_DOWNLOADS} running downloads, each of at most {@link #MAX_CONTENT_BYTES} bytes.
+ * Does no I/O and reads no clock.
  */
 final class ContentStore {
     static final int MAX_CONTENT_BYTES = 16 * 1024;
@@ -32,22 +33,23 @@
     private final Map<Long, byte[]> cached = new LinkedHashMap<>();
 
     private final Map<Long, Download> downloads = new LinkedHashMap<>();
-    /** Why the validator rejected a version. */
+    /** The validator's reason for each rejected version. */
     private final Map<Long, String> rejections = new LinkedHashMap<>();
 
-    /** @param validator why a content can't be applied here; null if it can */
+    /** @param validator returns why this process can't apply a content, or null if it can */
     ContentStore(Function<byte[], String> validator) {
         this.validator = validator;
     }
 
-    /** The version that names a content; never {@link Stage#NO_VERSION}. */
+    /** Returns the version that identifies a content; never {@link Stage#NO_VERSION}. */
     static long versionOf(byte[] content) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(content);
             long version = ByteBuffer.wrap(hash).getLong();
             return version == Stage.NO_VERSION ? 1 : version;
         } catch (NoSuchAlgorithmException exception) {
-            throw new IllegalStateException("every Java platform has SHA-256", exception);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform has to provide it", exception);
         }
     }
 
@@ -55,7 +57,7 @@
     OptionalLong put(byte[] content) {
         long version = versionOf(content);
         String reason = content.length > MAX_CONTENT_BYTES
-                ? "it has " + content.length + " bytes, " + MAX_CONTENT_BYTES + " at the most"
+                ? "content has " + content.length + " bytes, at most " + MAX_CONTENT_BYTES + " are allowed"
                 : validator.apply(content);
         downloads.remove(version);
         if (reason != null) {
@@ -78,7 +80,7 @@
         }
     }
 
-    /** The content of a version, if it is cached; it then counts as recently used. */
+    /** Returns the content of a version, if it is cached, and marks it as recently used. */
     Optional<byte[]> get(long version) {
         byte[] content = cached.remove(version);
         if (content != null) {
@@ -87,12 +89,15 @@
         return Optional.ofNullable(content);
     }
 
-    /** Why a version was rejected, if it was. */
+    /** Returns why a version was rejected, if it was. */
     Optional<String> rejectionReason(long version) {
         return Optional.ofNullable(rejections.get(version));
     }
 
-    /** Whether a version's content is cached; starts its download if not, unless it was rejected or too many are running. */
+    /**
+     * Whether a version's content is cached. If not, starts its download unless the version was rejected or too many
+     * downloads are running.
+     */
     boolean hasOrDownload(long version) {
         if (version == Stage.NO_VERSION || get(version).isPresent()) {
             return true;
@@ -107,17 +112,17 @@
         return !downloads.isEmpty();
     }
 
-    /** Notes that a process has announced a version, so it has the content or is about to. */
-    void announced(long version, int by) {
+    /** Records that a process has announced a version, and so has the content or will have it soon. */
+    void recordAnnouncement(long version, int announcer) {
         if (!hasOrDownload(version) && downloads.containsKey(version)) {
-            downloads.get(version).announcer = by;
+            downloads.get(version).announcer = announcer;
         }
     }
 
     /**
      * Requests missing chunks of every download from the process that announced it.
      *
-     * @param alternative asked if nobody has announced the version, or if {@code preferAlternative}
+     * @param alternative process that is asked if no process has announced the version, or if {@code preferAlternative}
      */
     void requestChunks(int alternative, boolean preferAlternative, Outbox outbox) {
         downloads.forEach((version, download) -> {
@@ -127,7 +132,7 @@
         });
     }
 
-    /** Answers a request for chunks, or takes a chunk; other messages are ignored. */
+    /** Answers a request for chunks, or stores a received chunk. Other messages are ignored. */
     void receive(int from, Message message, Outbox outbox) {
         if (message instanceof Message.ChunkRequest request) {
             sendChunks(from, request, outbox);
@@ -165,7 +170,7 @@
         if (versionOf(download.content) == chunk.version()) {
             put(download.content);
         } else {
-            // At least one chunk is of another content.
+            // At least one chunk belongs to another content, so all chunks are requested again.
             download.received.clear();
         }
     }
@@ -180,17 +185,17 @@
                 && chunk.data().length == Math.min(CHUNK_BYTES, contentBytes - index * CHUNK_BYTES);
     }
 
-    /** A content of which not all chunks have come. */
+    /** A content of which not all chunks have been received. */
     private static final class Download {
         private final BitSet received = new BitSet();
         private byte[] content = {};
-        private int chunks;
+        private int expectedChunks;
         private int announcer = NO_ANNOUNCER;
 
         void add(Message.Chunk chunk) {
-            if (chunks == 0 || content.length != chunk.contentBytes()) {
+            if (expectedChunks == 0 || content.length != chunk.contentBytes()) {
                 content = new byte[chunk.contentBytes()];
-                chunks = chunkCount(chunk.contentBytes());
+                expectedChunks = chunkCount(chunk.contentBytes());
                 received.clear();
             }
             byte[] data = chunk.data();
@@ -199,7 +204,7 @@
         }
 
         boolean isComplete() {
-            return received.cardinality() == chunks;
+            return received.cardinality() == expectedChunks;
         }
     }
 }
--- a/src/main/java/loadbalancer/consensus/Explorer.java
+++ b/src/main/java/loadbalancer/consensus/Explorer.java
@@ -6,9 +6,10 @@
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
 /**
- * Runs the real {@link Participant}s and {@link Subscriber}s through schedules that a network and machines may bring about: messages lost,
- * duplicated and reordered, processes that crash and lose their memory, pauses, rival leaders. After each event the invariants of
- * {@code docs/design/policy-change.md} are checked. Schedules are either all up to a bound, or long random ones, of which a violating one is
+ * Explores the state space of the protocol: runs the real {@link Participant}s and {@link Subscriber}s through
+ * schedules in which messages are lost, duplicated and reordered, processes crash and lose their state, processes
+ * pause, and leaders compete. After each event the invariants of {@code docs/design/policy-change.md} are checked.
+ * Schedules are either all up to a bound, or long random ones; a random schedule that violates an invariant is
  * minimized. The same seed gives the same result.
  */
 public final class Explorer {
@@ -29,7 +30,7 @@
         this.rules = rules;
     }
 
-    /** An explorer of the code as it is, without subscribers. */
+    /** Creates an explorer of a group without subscribers that enforces all safety rules. */
     public static Explorer withAllRules(int voters, int members) {
         return withRules(voters, members, SafetyRules.ALL);
     }
@@ -38,83 +39,87 @@
         return new Explorer(new GroupConfig(voters, members, LEASE_TICKS, LEASE_TICKS), 0, rules);
     }
 
-    /** An explorer of members and subscribers, which ask any member for leases. */
+    /** Creates an explorer of a group whose subscribers ask any member for leases. */
     static Explorer withSubscribers(int voters, int members, int subscribers, SafetyRules rules) {
         GroupConfig group = new GroupConfig(voters, members, LEASE_TICKS, LEASE_TICKS, SUBSCRIBER_LEASE_TICKS);
         return new Explorer(group, subscribers, rules);
     }
 
-    /** All processes have started together without memory and then agreed on version 1. */
-    private ExplorerScene startScene() {
-        ExplorerScene scene = new ExplorerScene(group, subscribers, rules);
+    /**
+     * Returns the start of each schedule: all processes have started together without state and then agreed on version
+     * 1.
+     */
+    private ExplorerState startState() {
+        ExplorerState state = new ExplorerState(group, subscribers, rules);
         for (int round = 0; round < STARTUP_ROUNDS; round++) {
             for (int member = 0; member < group.members(); member++) {
-                scene.apply(ExplorerEvent.of(Kind.RENEW, member));
+                state.apply(ExplorerEvent.of(Kind.RENEW, member));
             }
-            scene.deliverAll();
+            state.deliverAll();
         }
-        scene.apply(ExplorerEvent.lead(0, 1));
+        state.apply(ExplorerEvent.lead(0, 1));
         for (int round = 0; round < CHANGE_ROUNDS; round++) {
-            scene.deliverAll();
-            scene.apply(ExplorerEvent.of(Kind.STEP, 0));
+            state.deliverAll();
+            state.apply(ExplorerEvent.of(Kind.STEP, 0));
         }
         for (int index = 0; index < subscribers; index++) {
-            scene.apply(ExplorerEvent.subscribe(group.members() + index, index % group.members()));
+            state.apply(ExplorerEvent.subscribe(group.members() + index, index % group.members()));
         }
-        scene.deliverAll();
-        return scene;
+        state.deliverAll();
+        return state;
     }
 
     /**
-     * How many messages a change without faults takes.
+     * Returns how many messages a change without faults takes.
      *
      * @throws IllegalStateException if the change is not adopted by all members
      */
     public int countMessagesOfChange(long version) {
-        ExplorerScene scene = startScene();
+        ExplorerState state = startState();
         int[] sent = new int[1];
-        scene.members[0].lead(scene.nowTicks, new ChangeRequest(0, version, false), countingOutbox(scene, 0, sent));
+        state.members[0].lead(state.nowTicks, new ChangeRequest(0, version, false), countingOutbox(state, 0, sent));
         for (int round = 0; round < MAX_CHANGE_ROUNDS; round++) {
-            while (!scene.inTransit.isEmpty()) {
-                Envelope envelope = scene.inTransit.remove(0);
+            while (!state.inTransit.isEmpty()) {
+                Envelope envelope = state.inTransit.remove(0);
                 int to = envelope.to();
-                scene.members[to].receive(
-                        scene.nowTicks, envelope.from(), envelope.message(), countingOutbox(scene, to, sent));
+                state.members[to].receive(
+                        state.nowTicks, envelope.from(), envelope.message(), countingOutbox(state, to, sent));
             }
-            scene.members[0].step(scene.nowTicks, countingOutbox(scene, 0, sent));
+            state.members[0].step(state.nowTicks, countingOutbox(state, 0, sent));
         }
-        for (Participant member : scene.members) {
-            Stage stage = member.leaseHolder().stage(scene.nowTicks);
+        for (Participant member : state.members) {
+            Stage stage = member.leaseHolder().leasedStage(state.nowTicks);
             if (stage == null || stage.isJoint() || stage.newVersion() != version) {
-                throw new IllegalStateException("a change without faults is not complete: " + scene.describe());
+                throw new IllegalStateException(
+                        "not all members have adopted a change without faults: " + state.describe());
             }
         }
         return sent[0];
     }
 
-    private static Outbox countingOutbox(ExplorerScene scene, int from, int[] sent) {
+    private static Outbox countingOutbox(ExplorerState state, int from, int[] sent) {
         return (to, message) -> {
             sent[0] += from == to ? 0 : 1;
-            scene.inTransit.add(new Envelope(from, to, message));
+            state.inTransit.add(new Envelope(from, to, message));
         };
     }
 
-    /** Runs random schedules of a length each, up to the first that violates an invariant. */
+    /** Runs random schedules of {@code length} events each, up to the first schedule that violates an invariant. */
     public Exploration randomWalks(long seed, int walks, int length) {
-        ExplorerScene start = startScene();
+        ExplorerState start = startState();
         long applied = 0;
         for (int walk = 0; walk < walks; walk++) {
             SplittableRandom random = new SplittableRandom(seed * 1_000_003 + walk);
             RandomSchedule schedule = new RandomSchedule(random, group, subscribers, length);
-            ExplorerScene scene = new ExplorerScene(start);
+            ExplorerState state = new ExplorerState(start);
             List<ExplorerEvent> events = new ArrayList<>();
-            for (int step = 0; step < length && scene.violation == null; step++) {
-                ExplorerEvent event = schedule.next(step, scene.inTransit);
+            for (int step = 0; step < length && state.violation == null; step++) {
+                ExplorerEvent event = schedule.next(step, state.inTransit);
                 events.add(event);
-                scene.apply(event);
+                state.apply(event);
                 applied++;
             }
-            if (scene.violation != null) {
+            if (state.violation != null) {
                 return new Exploration(applied, events.size(), false, new ScheduleMinimizer(start).minimize(events));
             }
         }
@@ -124,28 +129,28 @@
     /**
      * Runs all schedules in the order of their length, see {@link BreadthFirstSearch}.
      *
-     * @param crashes in a schedule at most
-     * @param leads in a schedule at most
-     * @param ticks of the clock in a schedule at most
+     * @param crashes maximum in a schedule
+     * @param leaderStarts maximum number of times in a schedule that a voter starts to lead
+     * @param ticks maximum clock ticks in a schedule
      */
-    public Exploration breadthFirst(int maxStates, int crashes, int leads, int ticks) {
-        BreadthFirstSearch.Budget budget = new BreadthFirstSearch.Budget(crashes, leads, ticks);
-        return new BreadthFirstSearch(group, subscribers).search(startScene(), budget, maxStates);
+    public Exploration breadthFirst(int maxStates, int crashes, int leaderStarts, int ticks) {
+        BreadthFirstSearch.Budget budget = new BreadthFirstSearch.Budget(crashes, leaderStarts, ticks);
+        return new BreadthFirstSearch(group, subscribers).search(startState(), budget, maxStates);
     }
 
     /**
      * A violated invariant.
      *
-     * @param events the schedule that leads to it from the start
+     * @param events the schedule that leads from the start state to the violation
      */
     public record Violation(String description, List<String> events) {}
 
     /**
-     * What was explored.
+     * The result of an exploration.
      *
-     * @param states distinct states of all schedules; or events of random ones
-     * @param depth events in the longest schedule
-     * @param exhaustive whether all states were reached
+     * @param states number of distinct states of all schedules; for random schedules, the number of applied events
+     * @param depth number of events in the longest schedule; for random schedules, in the last one
+     * @param exhaustive whether all states within the bounds were reached
      * @param violation null if all invariants held
      */
     public record Exploration(long states, int depth, boolean exhaustive, Violation violation) {}
--- a/src/main/java/loadbalancer/consensus/ExplorerEvent.java
+++ b/src/main/java/loadbalancer/consensus/ExplorerEvent.java
@@ -3,9 +3,10 @@
 import java.util.Locale;
 
 /**
- * One step of an {@link ExplorerScene}; does nothing if it is not possible there.
+ * An event in a schedule of {@link Explorer}. An event that is not possible in an {@link ExplorerState} has no effect
+ * there.
  *
- * @param process number of the process that acts; 0 for events on a message
+ * @param process number of the process that acts; 0 for events on a message or the clock
  * @param envelope the message that is delivered, duplicated or dropped; null for other events
  * @param argument the requested version for {@link Kind#LEAD}, the member asked for {@link Kind#SUBSCRIBE}, else 0
  */
@@ -33,7 +34,7 @@
                 + (argument > 0 ? " to " + argument : "");
     }
 
-    /** What may happen to a message, a process, or the clock. */
+    /** The kinds of events on a message, a process, or the clock. */
     enum Kind {
         DELIVER,
         DUPLICATE,
--- a/src/main/java/loadbalancer/consensus/ExplorerScene.java
+++ b/src/main/java/loadbalancer/consensus/ExplorerState.java
@@ -9,15 +9,18 @@
 import java.util.Set;
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
-/** The state of an exploration: all processes, the messages in transit, the clock, and the stages known as chosen. */
-final class ExplorerScene {
-    /** Beyond it the oldest message is lost. */
+/**
+ * The state of an explored schedule: all processes, the messages in transit, the clock, and the stages known to be
+ * chosen.
+ */
+final class ExplorerState {
+    /** If more messages per process are in transit, the oldest one is lost. */
     private static final int MAX_MESSAGES_PER_PROCESS = 13;
 
     private static final int MAX_DELIVERIES = 10_000;
 
     final Participant[] members;
-    /** Numbered after the members. */
+    /** Subscribers are numbered after the members. */
     final Subscriber[] subscribers;
 
     final List<Envelope> inTransit = new ArrayList<>();
@@ -28,10 +31,10 @@
 
     private final GroupConfig group;
     private final SafetyRules rules;
-    /** By era and index. */
+    /** The stages known to be chosen, by era and index. */
     private final Map<String, Stage> chosen = new HashMap<>();
 
-    ExplorerScene(GroupConfig group, int subscribers, SafetyRules rules) {
+    ExplorerState(GroupConfig group, int subscribers, SafetyRules rules) {
         this.group = group;
         this.rules = rules;
         members = new Participant[group.members()];
@@ -44,8 +47,8 @@
         }
     }
 
-    /** A copy that shares its processes until one of them changes. */
-    ExplorerScene(ExplorerScene other) {
+    /** Copies a state. The copy shares its processes until one of them changes. */
+    ExplorerState(ExplorerState other) {
         members = other.members.clone();
         inTransit.addAll(other.inTransit);
         nowTicks = other.nowTicks;
@@ -57,8 +60,8 @@
         chosen.putAll(other.chosen);
     }
 
-    /** How many stages are known as chosen. */
-    int chosenStages() {
+    /** Returns how many stages are known to be chosen. */
+    int chosenStageCount() {
         return chosen.size();
     }
 
@@ -83,7 +86,7 @@
             case ABORT -> lead(process, Stage.NO_VERSION, true);
             case CRASH -> members[process] = new Participant(group, rules, process, ++processCount, nowTicks);
             case TICK -> nowTicks++;
-            default -> throw new IllegalStateException("no such event: " + event);
+            default -> throw new IllegalStateException("unknown kind of event: " + event);
         }
         if (violation == null) {
             checkInvariants();
@@ -134,7 +137,7 @@
         copyMember(process).lead(nowTicks, new ChangeRequest(process, version, abort), outboxOf(process));
     }
 
-    /** Replaces a member by a copy of it, which may be changed without changing scenes that share it. */
+    /** Replaces a member by a copy, which can be changed without affecting other states that share the member. */
     private Participant copyMember(int member) {
         members[member] = members[member].copy();
         return members[member];
@@ -162,10 +165,11 @@
         }
     }
 
-    private void recordChosen(long era, Stage stage, String who) {
+    private void recordChosen(long era, Stage stage, String processName) {
         Stage other = chosen.putIfAbsent(era + ":" + stage.index(), stage);
         if (other != null && !other.equals(stage)) {
-            violation = "EVERYWHERE_OR_NOWHERE: " + who + " has " + stage + ", chosen was " + other;
+            violation = "EVERYWHERE_OR_NOWHERE: " + processName + " has stage " + stage + ", but the chosen stage is "
+                    + other;
         }
     }
 
@@ -189,8 +193,8 @@
 
     private Stage stageOf(int process) {
         return process < members.length
-                ? members[process].leaseHolder().stage(nowTicks)
-                : subscribers[process - members.length].stage(nowTicks);
+                ? members[process].leaseHolder().leasedStage(nowTicks)
+                : subscribers[process - members.length].leasedStage(nowTicks);
     }
 
     private long eraOf(int process) {
@@ -203,7 +207,7 @@
         return (process < members.length ? "sidecar " : "subscriber ") + process;
     }
 
-    /** Delivers what processes have sent to themselves, and merges equal messages. */
+    /** Delivers the messages that processes have sent to themselves, and merges equal messages. */
     void deliverLoopback() {
         Optional<Envelope> loopback = nextLoopback();
         while (loopback.isPresent()) {
@@ -228,7 +232,7 @@
         }
     }
 
-    /** A text that is the same for equal states only, with times relative to now. */
+    /** Returns a text that is the same for equal states only, with times relative to now. */
     String describe() {
         StringBuilder text = new StringBuilder();
         for (Participant member : members) {
--- a/src/main/java/loadbalancer/consensus/Incarnation.java
+++ b/src/main/java/loadbalancer/consensus/Incarnation.java
@@ -1,11 +1,12 @@
 package loadbalancer.consensus;
 
 /**
- * One process of a voter. A process that ends loses its memory, and the next has a higher count. What an earlier incarnation promised binds
- * nobody, so its answer counts towards a quorum only while no other answer of the quorum knows a later one (crash-consistent quorums:
+ * One process of a voter. A voter's state is lost when its process ends, and the next process has a higher count. A
+ * restarted voter does not keep the promises of its earlier incarnations, so the answer of an incarnation counts
+ * towards a quorum only while no other answer of the quorum knows a later incarnation (crash-consistent quorums:
  * Michael, Ports, Sharma, Szekeres, Recovering Shared Objects Without Stable Storage, DISC 2017).
  *
- * @param count grows with each incarnation of the voter; 0 if none is known
+ * @param count grows with each incarnation of the voter; 0 if no incarnation is known
  * @param nonce drawn by the process, distinguishes two incarnations with the same count
  */
 record Incarnation(int count, int nonce) {
--- a/src/main/java/loadbalancer/consensus/Leader.java
+++ b/src/main/java/loadbalancer/consensus/Leader.java
@@ -4,11 +4,15 @@
 import java.util.BitSet;
 
 /**
- * A proposer that moves the group from stage to stage while there is something to do, and then ends: at rest nobody leads. Any voter may lead
- * with a higher ballot and first completes what a majority may have accepted, so a crash leaves no change unfinished. Pure.
+ * The proposer of a Paxos ballot. A leader moves the group through the stages of a requested change and then stops, so
+ * an idle group has no leader. Any voter can start to lead with a higher ballot. A new leader first completes the stage
+ * that a majority may have accepted, so a crashed leader leaves no change unfinished. Does no I/O and reads no clock.
  */
 final class Leader {
-    /** Ballots are ordered by round, then by the count of the leader's incarnation, then by its number. */
+    /**
+     * A ballot consists of a round, the count of the leader's incarnation, and the leader's number, compared in this
+     * order.
+     */
     private static final long BALLOTS_PER_INCARNATION = 8;
 
     private static final long INCARNATIONS_PER_ROUND = 8_192;
@@ -19,8 +23,10 @@
     private final long era;
     private final long ballot;
     private final int proposer;
-    /** What this voter knew as chosen when it began to lead, possibly for long; null if nothing. */
-    private final Stage initiallyChosen;
+    /**
+     * The stage that this voter knew to be chosen when it started to lead, possibly long before; null if it knew none.
+     */
+    private final Stage initiallyChosenStage;
 
     private final long initiallyChosenAtMicros;
 
@@ -30,34 +36,41 @@
     private final BitSet adopters = new BitSet();
     private final BitSet validators = new BitSet();
 
-    /** {@link Stage#NO_VERSION} once its validation has begun. */
+    /** The version to activate; {@link Stage#NO_VERSION} if there is none, or once its validation has begun. */
     private long requestedVersion;
 
     private boolean abort;
-    /** Proposed last; null before a majority has promised. */
-    private Stage stage;
+    /** The last proposed stage; null before a majority has promised the ballot. */
+    private Stage proposedStage;
 
-    private boolean chosen;
+    private boolean proposedIsChosen;
     private Stage lastChosen;
     private long chosenAtMicros;
-    /** {@link Stage#NO_VERSION} while a stage is being proposed. */
-    private long validatedVersion = Stage.NO_VERSION;
+    /** The version that members are validating; {@link Stage#NO_VERSION} while a stage is being proposed. */
+    private long versionInValidation = Stage.NO_VERSION;
 
     private long validationStartMicros;
-    private boolean over;
+    private boolean finished;
     private boolean preempted;
 
-    /** @param minimumBallot the new ballot is higher */
-    Leader(GroupConfig group, SafetyRules rules, int voterId, Voter voter, long minimumBallot, ChangeRequest request) {
+    /** @param highestKnownBallot the new leader's ballot is higher than this one */
+    Leader(
+            GroupConfig group,
+            SafetyRules rules,
+            int voterId,
+            Voter voter,
+            long highestKnownBallot,
+            ChangeRequest request) {
         this.group = group;
         this.rules = rules;
         era = voter.era();
-        // A later incarnation may not know which ballots an earlier one has used.
+        // The count distinguishes the ballots of different incarnations, because an incarnation may not know which
+        // ballots earlier ones have used.
         long incarnation = voter.incarnations().get(voterId).count() % INCARNATIONS_PER_ROUND;
-        long round = minimumBallot / BALLOTS_PER_ROUND + 1;
+        long round = highestKnownBallot / BALLOTS_PER_ROUND + 1;
         ballot = round * BALLOTS_PER_ROUND + incarnation * BALLOTS_PER_INCARNATION + voterId;
         proposer = request.proposer();
-        initiallyChosen = voter.acceptedIsChosen() ? voter.acceptedStage() : null;
+        initiallyChosenStage = voter.acceptedIsChosen() ? voter.acceptedStage() : null;
         initiallyChosenAtMicros = voter.chosenAtMicros();
         promises = new Message.Promise[group.voters()];
         promiseAnswers = new VoterAnswers(group, rules);
@@ -72,7 +85,7 @@
         era = other.era;
         ballot = other.ballot;
         proposer = other.proposer;
-        initiallyChosen = other.initiallyChosen;
+        initiallyChosenStage = other.initiallyChosenStage;
         initiallyChosenAtMicros = other.initiallyChosenAtMicros;
         promises = other.promises.clone();
         promiseAnswers = other.promiseAnswers.copy();
@@ -81,17 +94,17 @@
         validators.or(other.validators);
         requestedVersion = other.requestedVersion;
         abort = other.abort;
-        stage = other.stage;
-        chosen = other.chosen;
+        proposedStage = other.proposedStage;
+        proposedIsChosen = other.proposedIsChosen;
         lastChosen = other.lastChosen;
         chosenAtMicros = other.chosenAtMicros;
-        validatedVersion = other.validatedVersion;
+        versionInValidation = other.versionInValidation;
         validationStartMicros = other.validationStartMicros;
-        over = other.over;
+        finished = other.finished;
         preempted = other.preempted;
     }
 
-    /** The voter that a ballot belongs to. */
+    /** Returns the number of the voter that leads with a ballot. */
     static int voterOf(long ballot) {
         return (int) (ballot % BALLOTS_PER_INCARNATION);
     }
@@ -100,7 +113,10 @@
         return new Leader(this);
     }
 
-    /** Members that have not validated the requested version yet, or else not adopted the current stage. */
+    /**
+     * Returns the members that this leader waits for: those that have not validated the version in validation or, if no
+     * version is in validation, those that have not adopted the proposed stage.
+     */
     BitSet awaitedMembers() {
         BitSet awaited = new BitSet();
         awaited.set(0, group.members());
@@ -108,12 +124,12 @@
         return awaited;
     }
 
-    /** Whether it has completed everything, given up, or been preempted. */
-    boolean isOver() {
-        return over;
+    /** Whether this leader has completed its change, given it up, or been preempted. */
+    boolean isFinished() {
+        return finished;
     }
 
-    /** Whether another voter leads with a higher ballot. */
+    /** Whether a voter has rejected this leader's ballot because of a higher one. */
     boolean isPreempted() {
         return preempted;
     }
@@ -122,41 +138,46 @@
         return ballot;
     }
 
-    /** The last stage that this leader knows a majority to have accepted; null before. */
+    /** Returns the last stage that this leader knows a majority to have accepted; null before the first. */
     Stage lastChosen() {
         return lastChosen;
     }
 
     private boolean isValidating() {
-        return validatedVersion != Stage.NO_VERSION;
+        return versionInValidation != Stage.NO_VERSION;
     }
 
-    /** Advances if it can, and otherwise sends again what has not been answered. */
+    /**
+     * Moves to the next stage or validation if the current one is complete, otherwise resends the unanswered messages.
+     */
     void step(long nowMicros, Outbox outbox) {
-        if (over || advance(nowMicros, outbox)) {
+        if (finished || advance(nowMicros, outbox)) {
             return;
         }
         if (isValidating()) {
             sendValidate(outbox);
-        } else if (stage == null) {
+        } else if (proposedStage == null) {
             sendToVoters(outbox, new Message.Prepare(era, ballot));
-        } else if (!chosen) {
-            sendToVoters(outbox, new Message.Accept(era, ballot, stage));
+        } else if (!proposedIsChosen) {
+            sendToVoters(outbox, new Message.Accept(era, ballot, proposedStage));
         } else {
             for (int member = 0; member < group.members(); member++) {
                 if (!adopters.get(member)) {
-                    outbox.send(member, new Message.Chosen(era, ballot, stage));
+                    outbox.send(member, new Message.Chosen(era, ballot, proposedStage));
                 }
             }
         }
     }
 
-    /** Goes on to the next stage or validation; false if the current one is not complete. */
+    /**
+     * Starts the next stage or validation, or finishes if nothing is left to do. Returns false if the current stage or
+     * validation is not complete.
+     */
     boolean advance(long nowMicros, Outbox outbox) {
         if (isValidating()) {
             return endValidation(nowMicros, outbox);
         }
-        boolean due = !over && chosen && isPreviousRetired(nowMicros);
+        boolean due = !finished && proposedIsChosen && isPreviousRetired(nowMicros);
         if (due) {
             proposeNext(nowMicros, outbox);
         }
@@ -168,15 +189,15 @@
         boolean votersAgree = validators.get(0, group.voters()).cardinality() >= group.majority();
         boolean complete = validators.cardinality() == group.members() || timedOut && votersAgree;
         if (complete) {
-            long version = validatedVersion;
-            validatedVersion = Stage.NO_VERSION;
+            long version = versionInValidation;
+            versionInValidation = Stage.NO_VERSION;
             boolean joint = rules.enforces(SafetyRule.JOINT_STAGE);
-            propose(joint ? stage.jointWith(version) : stage.settledOn(version), outbox);
+            propose(joint ? proposedStage.jointWith(version) : proposedStage.settledOn(version), outbox);
         }
         return complete;
     }
 
-    /** Whether no process decides by a stage before the current one any more. */
+    /** Whether no process can still decide by a stage before the current one. */
     private boolean isPreviousRetired(long nowMicros) {
         return !rules.enforces(SafetyRule.WAITING)
                 || adopters.cardinality() == group.members()
@@ -184,31 +205,31 @@
     }
 
     private void proposeNext(long nowMicros, Outbox outbox) {
-        if (stage.isJoint()) {
-            propose(stage.settledOn(abort ? stage.oldVersion() : stage.newVersion()), outbox);
+        if (proposedStage.isJoint()) {
+            propose(proposedStage.settledOn(abort ? proposedStage.oldVersion() : proposedStage.newVersion()), outbox);
             abort = false;
-        } else if (requestedVersion != Stage.NO_VERSION && requestedVersion != stage.newVersion()) {
-            validatedVersion = requestedVersion;
+        } else if (requestedVersion != Stage.NO_VERSION && requestedVersion != proposedStage.newVersion()) {
+            versionInValidation = requestedVersion;
             validationStartMicros = nowMicros;
             requestedVersion = Stage.NO_VERSION;
             sendValidate(outbox);
         } else {
-            over = true;
+            finished = true;
         }
     }
 
     private void propose(Stage next, Outbox outbox) {
-        stage = next;
+        proposedStage = next;
         acceptAnswers.clear();
-        chosen = false;
+        proposedIsChosen = false;
         adopters.clear();
-        sendToVoters(outbox, new Message.Accept(era, ballot, stage));
+        sendToVoters(outbox, new Message.Accept(era, ballot, proposedStage));
     }
 
     private void sendValidate(Outbox outbox) {
         for (int member = 0; member < group.members(); member++) {
             if (!validators.get(member)) {
-                outbox.send(member, new Message.Validate(era, validatedVersion));
+                outbox.send(member, new Message.Validate(era, versionInValidation));
             }
         }
     }
@@ -219,9 +240,9 @@
         }
     }
 
-    /** Takes an answer of a member; messages that are not for a leader are ignored. */
+    /** Handles a member's answer. Messages that are not meant for a leader are ignored. */
     void receive(long nowMicros, int from, Message message, Outbox outbox) {
-        if (over) {
+        if (finished) {
             return;
         }
         if (message instanceof Message.Promise promise) {
@@ -240,14 +261,14 @@
     }
 
     private void onPromise(int from, Message.Promise promise, Outbox outbox) {
-        boolean current = promise.era() == era && promise.ballot() == ballot && stage == null;
+        boolean current = promise.era() == era && promise.ballot() == ballot && proposedStage == null;
         if (!current || from >= group.voters()) {
             return;
         }
         promises[from] = promise;
         promiseAnswers.add(from, promise.incarnations());
         if (promiseAnswers.isQuorum()) {
-            // What a majority may have accepted is completed under this ballot before anything follows it.
+            // A stage that a majority may have accepted is completed under this ballot before any other is proposed.
             propose(latestAccepted(), outbox);
         }
     }
@@ -269,51 +290,51 @@
     private void onAccepted(long nowMicros, int from, Message.Accepted accepted, Outbox outbox) {
         boolean current = accepted.era() == era
                 && accepted.ballot() == ballot
-                && stage != null
-                && accepted.index() == stage.index();
-        if (!current || chosen || from >= group.voters()) {
+                && proposedStage != null
+                && accepted.index() == proposedStage.index();
+        if (!current || proposedIsChosen || from >= group.voters()) {
             return;
         }
         acceptAnswers.add(from, accepted.incarnations());
         if (acceptAnswers.isQuorum()) {
-            chosen = true;
-            lastChosen = stage;
-            chosenAtMicros = stage.equals(initiallyChosen) ? initiallyChosenAtMicros : nowMicros;
+            proposedIsChosen = true;
+            lastChosen = proposedStage;
+            chosenAtMicros = proposedStage.equals(initiallyChosenStage) ? initiallyChosenAtMicros : nowMicros;
             for (int member = 0; member < group.members(); member++) {
-                outbox.send(member, new Message.Chosen(era, ballot, stage));
+                outbox.send(member, new Message.Chosen(era, ballot, proposedStage));
             }
         }
     }
 
     private void onValid(int from, Message.Valid valid) {
-        if (isValidating() && valid.era() == era && valid.version() == validatedVersion) {
+        if (isValidating() && valid.era() == era && valid.version() == versionInValidation) {
             validators.set(from);
         }
     }
 
-    /** Gives up. No stage with the version has been proposed, so nothing has to be rolled back. */
+    /** Gives up the change. No stage with the version has been proposed, so nothing has to be rolled back. */
     private void onInvalid(int from, Message.Invalid invalid, Outbox outbox) {
-        if (isValidating() && invalid.version() == validatedVersion) {
-            over = true;
+        if (isValidating() && invalid.version() == versionInValidation) {
+            finished = true;
             String reason = "sidecar " + from + ": " + invalid.reason();
-            outbox.send(proposer, new Message.Invalid(validatedVersion, reason));
+            outbox.send(proposer, new Message.Invalid(versionInValidation, reason));
         }
     }
 
     private void onRejected(Message.Rejected rejected) {
         if (rejected.era() == era && rejected.ballot() == ballot && rejected.promisedBallot() > ballot) {
-            over = true;
+            finished = true;
             preempted = true;
         }
     }
 
     private void onAdopted(int from, Message.Adopted adopted) {
-        if (adopted.era() == era && chosen && adopted.index() >= stage.index()) {
+        if (adopted.era() == era && proposedIsChosen && adopted.index() >= proposedStage.index()) {
             adopters.set(from);
         }
     }
 
-    /** Appends all that distinguishes this state from others, with times relative to now. */
+    /** Appends a description that differs between different states, with times relative to now. */
     void appendState(StringBuilder text, long nowMicros) {
         text.append('L')
                 .append(ballot)
@@ -321,13 +342,16 @@
                 .append(requestedVersion)
                 .append(abort)
                 .append(Arrays.toString(promises))
-                .append(stage)
+                .append(proposedStage)
                 .append(acceptAnswers)
-                .append(chosen ? String.valueOf(Math.min(group.leaseExpiryMicros(), nowMicros - chosenAtMicros)) : "-")
+                .append(
+                        proposedIsChosen
+                                ? String.valueOf(Math.min(group.leaseExpiryMicros(), nowMicros - chosenAtMicros))
+                                : "-")
                 .append(adopters)
-                .append(over)
-                .append(initiallyChosen)
-                .append(validatedVersion)
+                .append(finished)
+                .append(initiallyChosenStage)
+                .append(versionInValidation)
                 .append(validators)
                 .append(
                         isValidating()
--- a/src/main/java/loadbalancer/consensus/LeaseGrantor.java
+++ b/src/main/java/loadbalancer/consensus/LeaseGrantor.java
@@ -10,25 +10,32 @@
 import java.util.TreeMap;
 
 /**
- * The leases that a member grants to subscribers, each nested in the member's own (hierarchical leases after Gray and Cheriton, Leases, SOSP
- * 1989), and the earliest stage that any of them still allows. At most {@link #MAX_LEASES} subscriber processes have one. Pure.
+ * The leases that a member grants to subscribers, each nested in the member's own lease (hierarchical leases after Gray
+ * and Cheriton, Leases, SOSP 1989), and the earliest stage that any of them still allows. At most {@link #MAX_LEASES}
+ * subscriber processes have a lease. Does no I/O and reads no clock.
  */
 final class LeaseGrantor {
     static final int MAX_LEASES = 4_096;
 
-    /** A subscriber's process. A restarted subscriber has leases of its own while those of its earlier process last. */
+    /**
+     * A process of a subscriber. The leases of a restarted subscriber's earlier process stay separate until they
+     * expire.
+     */
     private record LeaseKey(int subscriber, int processId) {}
 
     private final GroupConfig group;
     private final SafetyRules rules;
     private final long startedAtMicros;
-    /** For each process and index of a granted stage the expiry of that lease, by this member's clock, us. */
+    /**
+     * For each subscriber process, when its lease on each stage expires, by stage index; in microseconds of this
+     * member's clock.
+     */
     private final Map<LeaseKey, TreeMap<Long, Long>> leases = new LinkedHashMap<>();
 
     private long era;
     private long cleanedAtMicros;
 
-    /** @param nowMicros when the member's process started */
+    /** @param nowMicros time at which the member's process started */
     LeaseGrantor(GroupConfig group, SafetyRules rules, long nowMicros) {
         this.group = group;
         this.rules = rules;
@@ -49,28 +56,31 @@
         return new LeaseGrantor(this);
     }
 
-    /** A lease nested in the member's own; empty if the member has none, knows less than the subscriber, or is full. */
+    /**
+     * Grants a lease nested in the member's own. Returns empty if the member has no valid lease or too little time left
+     * on it, knows an earlier stage than the subscriber, or has granted the maximum number of leases.
+     */
     Optional<Message.SubscriberLease> grant(
-            long nowMicros, int subscriber, Message.SubscriberLeaseRequest request, LeaseHolder own) {
-        if (own.lastStage() == null) {
+            long nowMicros, int subscriber, Message.SubscriberLeaseRequest request, LeaseHolder ownLease) {
+        if (ownLease.lastStage() == null) {
             return Optional.empty();
         }
-        enterEra(own.era());
+        enterEra(ownLease.era());
         removeExpired(nowMicros);
         LeaseKey key = new LeaseKey(subscriber, request.processId());
         boolean sameEra = request.era() == era;
         TreeMap<Long, Long> granted = leases.get(key);
         if (granted != null && sameEra) {
-            // By asking with a later stage the process has given up its leases on earlier ones.
+            // By sending a later stage in its request, the process has given up its leases on earlier ones.
             granted.headMap(request.index(), false).clear();
         }
-        Stage stage = own.stage(nowMicros);
+        Stage stage = ownLease.leasedStage(nowMicros);
         boolean ahead = stage != null && sameEra && request.index() > stage.index();
         boolean full = granted == null && leases.size() >= MAX_LEASES;
         if (stage == null || ahead || full) {
             return Optional.empty();
         }
-        long durationMicros = durationMicros(nowMicros, own);
+        long durationMicros = durationMicros(nowMicros, ownLease);
         long validMicros = durationMicros * group.leaseMicros() / group.leaseExpiryMicros();
         if (validMicros <= 0) {
             return Optional.empty();
@@ -80,14 +90,17 @@
         return Optional.of(new Message.SubscriberLease(era, request.nonce(), stage, validMicros));
     }
 
-    private long durationMicros(long nowMicros, LeaseHolder own) {
+    private long durationMicros(long nowMicros, LeaseHolder ownLease) {
         long longestMicros = group.subscriberLeaseMicros();
         return rules.enforces(SafetyRule.NESTED_LEASE)
-                ? Math.min(longestMicros, own.expiryMicros() - nowMicros)
+                ? Math.min(longestMicros, ownLease.expiryMicros() - nowMicros)
                 : longestMicros;
     }
 
-    /** A member enters another era only after its own lease has expired, and with it all that were nested in it. */
+    /**
+     * Drops all leases on a change of era. A member enters another era only after its own lease has expired, and with
+     * it all that were nested in it.
+     */
     private void enterEra(long newEra) {
         if (newEra != era) {
             era = newEra;
@@ -95,7 +108,7 @@
         }
     }
 
-    /** Scans all leases, at most once in the length of one. */
+    /** Removes expired leases. Scans all leases, at most once in the longest time of one. */
     private void removeExpired(long nowMicros) {
         if (nowMicros - cleanedAtMicros >= group.subscriberLeaseMicros()) {
             cleanedAtMicros = nowMicros;
@@ -105,17 +118,18 @@
     }
 
     /**
-     * The latest stage that neither the member nor any of its subscribers can decide by an earlier one of.
+     * Returns the index of the latest stage for which neither the member nor any of its subscribers can still decide by
+     * an earlier one.
      *
-     * @param own the member's lease, which knows a stage
-     * @return its index; {@link Stage#UNKNOWN_INDEX} while leases of an earlier process may be valid
+     * @param ownLease the member's lease, which knows a stage
+     * @return {@link Stage#UNKNOWN_INDEX} while leases granted by an earlier process may still be valid
      */
-    long adoptedIndex(long nowMicros, LeaseHolder own) {
-        enterEra(own.era());
+    long adoptedIndex(long nowMicros, LeaseHolder ownLease) {
+        enterEra(ownLease.era());
         if (inQuietPeriod(nowMicros) && rules.enforces(SafetyRule.QUIET_START)) {
             return Stage.UNKNOWN_INDEX;
         }
-        long index = own.lastStage().index();
+        long index = ownLease.lastStage().index();
         if (rules.enforces(SafetyRule.SUBSCRIBERS_PAST)) {
             for (TreeMap<Long, Long> granted : leases.values()) {
                 index = Math.min(index, earliestLeasedIndex(nowMicros, granted));
@@ -124,7 +138,7 @@
         return index;
     }
 
-    /** Whether an earlier process, if it was only paused, could still hold a lease and grant from it. */
+    /** Whether an earlier process of this member that was only paused could still hold a lease and grant from it. */
     private boolean inQuietPeriod(long nowMicros) {
         return group.subscriberLeaseMicros() > 0 && nowMicros - startedAtMicros < group.leaseExpiryMicros();
     }
@@ -138,7 +152,7 @@
         return Long.MAX_VALUE;
     }
 
-    /** Subscribers with a valid lease on a stage before this index, each once. */
+    /** Returns the subscribers with a valid lease on a stage before this index, each once. */
     List<Integer> subscribersBehind(long nowMicros, long index) {
         Set<Integer> behind = new LinkedHashSet<>();
         leases.forEach((key, granted) -> {
@@ -149,12 +163,12 @@
         return List.copyOf(behind);
     }
 
-    /** Subscribers with a valid lease. */
+    /** Returns the subscribers with a valid lease. */
     List<Integer> activeSubscribers(long nowMicros) {
         return subscribersBehind(nowMicros, Long.MAX_VALUE);
     }
 
-    /** Appends all that distinguishes this state from others, with times relative to now. */
+    /** Appends a description that differs between different states, with times relative to now. */
     void appendState(StringBuilder text, long nowMicros) {
         text.append('G').append(inQuietPeriod(nowMicros) ? nowMicros - startedAtMicros : -1);
         leases.entrySet().stream()
--- a/src/main/java/loadbalancer/consensus/LeaseHolder.java
+++ b/src/main/java/loadbalancer/consensus/LeaseHolder.java
@@ -4,35 +4,37 @@
 import java.util.function.LongPredicate;
 
 /**
- * The stage that a member decides by, and its lease on it. It asks all voters and adopts what a majority answers for the length of a lease,
- * counted from its request by its own monotonic clock. Pure.
+ * A member's lease on the stage that it decides by. The member asks all voters and adopts the stage that a majority's
+ * replies establish for the length of a lease, counted from its request by its own monotonic clock. Does no I/O and
+ * reads no clock.
  */
 final class LeaseHolder {
     private final GroupConfig group;
     private final SafetyRules rules;
-    private final LongPredicate readable;
+    private final LongPredicate contentAvailable;
     /** Replies to the last request, by voter; null without a reply. */
     private final Message.LeaseReply[] replies;
 
     private int nonce;
     private long requestedAtMicros;
-    private Stage stage;
+    private Stage lastStage;
     private long era;
-    /** A ballot under which the stage was accepted. */
+    /** A ballot under which the last known stage was accepted. */
     private long ballot;
 
     private long expiryMicros = Long.MIN_VALUE;
 
     /**
-     * A member that knows no stage yet.
+     * Creates the lease holder of a member that knows no stage yet.
      *
-     * @param nonce drawn by this process, so that replies to an earlier one are ignored
-     * @param readable whether a version's content is here and valid; no other version is adopted
+     * @param nonce first nonce, different for each process, so that replies to an earlier process are ignored
+     * @param contentAvailable tells whether this process has the valid content of a version; stages with other versions
+     *     are not adopted
      */
-    LeaseHolder(GroupConfig group, SafetyRules rules, int nonce, LongPredicate readable) {
+    LeaseHolder(GroupConfig group, SafetyRules rules, int nonce, LongPredicate contentAvailable) {
         this.group = group;
         this.rules = rules;
-        this.readable = readable;
+        this.contentAvailable = contentAvailable;
         this.nonce = nonce;
         replies = new Message.LeaseReply[group.voters()];
     }
@@ -40,11 +42,11 @@
     private LeaseHolder(LeaseHolder other) {
         group = other.group;
         rules = other.rules;
-        readable = other.readable;
+        contentAvailable = other.contentAvailable;
         replies = other.replies.clone();
         nonce = other.nonce;
         requestedAtMicros = other.requestedAtMicros;
-        stage = other.stage;
+        lastStage = other.lastStage;
         era = other.era;
         ballot = other.ballot;
         expiryMicros = other.expiryMicros;
@@ -54,7 +56,7 @@
         return new LeaseHolder(this);
     }
 
-    /** Asks all voters; only replies to this request count from now on. */
+    /** Sends a lease request to all voters. From now on only replies to this request count. */
     void requestLease(long nowMicros, Outbox outbox) {
         nonce++;
         requestedAtMicros = nowMicros;
@@ -64,22 +66,24 @@
         }
     }
 
-    /** The stage to decide by now; null without a valid lease. */
-    Stage stage(long nowMicros) {
-        return stage != null && (!rules.enforces(SafetyRule.LEASE_END) || nowMicros < expiryMicros) ? stage : null;
+    /** Returns the stage to decide by now; null without a valid lease. */
+    Stage leasedStage(long nowMicros) {
+        return lastStage != null && (!rules.enforces(SafetyRule.LEASE_END) || nowMicros < expiryMicros)
+                ? lastStage
+                : null;
     }
 
-    /** When the last lease expires; {@link Long#MIN_VALUE} before the first. */
+    /** Returns when the last lease expires; {@link Long#MIN_VALUE} before the first. */
     long expiryMicros() {
         return expiryMicros;
     }
 
-    /** The last known stage, with or without a valid lease; null before any is known. */
+    /** Returns the last known stage, with or without a valid lease; null before any is known. */
     Stage lastStage() {
-        return stage;
+        return lastStage;
     }
 
-    /** The voter that proposed the last known stage, as far as this member knows. */
+    /** Returns the voter that proposed the last known stage, as far as this member knows. */
     int leaderId() {
         return Leader.voterOf(ballot);
     }
@@ -88,47 +92,50 @@
         return era;
     }
 
-    /** Takes a reply; true if it leads to another stage, which the leader has to be notified of. */
+    /** Handles a reply. Returns true if the member adopts another stage, which the leader has to be notified of. */
     boolean receive(long nowMicros, int from, Message message) {
         if (!(message instanceof Message.LeaseReply reply) || reply.nonce() != nonce || from >= group.voters()) {
             return false;
         }
         replies[from] = reply;
         boolean sameEra = reply.era() == era;
-        // Another era begins only when all voters have lost their memory; until its lease expires the member stays in
-        // its own.
-        if (stage != null && !sameEra && nowMicros < expiryMicros) {
+        // Another era begins only when all voters have lost their state. The member stays in its era until its lease
+        // expires.
+        if (lastStage != null && !sameEra && nowMicros < expiryMicros) {
             return false;
         }
         Stage chosen = chosenStage(reply.era());
-        boolean earlier = chosen != null && stage != null && sameEra && chosen.index() < stage.index();
+        boolean earlier = chosen != null && lastStage != null && sameEra && chosen.index() < lastStage.index();
         if (chosen == null || earlier) {
             return false;
         }
-        // Not short-circuit: each test starts the download of a missing content.
-        if (!readable.test(chosen.oldVersion()) | !readable.test(chosen.newVersion())) {
+        // Not short-circuited, because each test starts the download of a missing content.
+        if (!contentAvailable.test(chosen.oldVersion()) | !contentAvailable.test(chosen.newVersion())) {
             return false;
         }
-        boolean changed = !chosen.equals(stage) || !sameEra;
-        stage = chosen;
+        boolean changed = !chosen.equals(lastStage) || !sameEra;
+        lastStage = chosen;
         updateBallot(changed);
         era = reply.era();
         expiryMicros = requestedAtMicros + group.leaseMicros();
         return changed;
     }
 
-    /** Without a change of stage the highest ballot counts, after one the last reply with the new stage. */
+    /**
+     * If the stage is unchanged, keeps the highest ballot seen; otherwise takes the ballot of the last voter whose
+     * reply has the new stage.
+     */
     private void updateBallot(boolean changed) {
         for (Message.LeaseReply reply : replies) {
-            if (reply != null && reply.acceptedStage().equals(stage)) {
+            if (reply != null && reply.acceptedStage().equals(lastStage)) {
                 ballot = Math.max(changed ? 0 : ballot, reply.acceptedBallot());
             }
         }
     }
 
-    /** The latest stage that is known as chosen, if a majority has accepted nothing after it; else null. */
+    /** Returns the latest stage that is known to be chosen, if a majority has accepted no later one, otherwise null. */
     private Stage chosenStage(long replyEra) {
-        Stage latest = era == replyEra ? stage : null;
+        Stage latest = era == replyEra ? lastStage : null;
         for (Message.LeaseReply reply : replies) {
             boolean later = reply != null
                     && reply.era() == replyEra
@@ -167,10 +174,10 @@
         return count;
     }
 
-    /** Appends all that distinguishes this state from others, with times relative to now. */
+    /** Appends a description that differs between different states, with times relative to now. */
     void appendState(StringBuilder text, long nowMicros) {
         text.append('H')
-                .append(stage)
+                .append(lastStage)
                 .append(' ')
                 .append(era & 0xffff)
                 .append(' ')
--- a/src/main/java/loadbalancer/consensus/Message.java
+++ b/src/main/java/loadbalancer/consensus/Message.java
@@ -3,7 +3,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A message between processes of a group, which may be lost, delayed, duplicated or reordered. Those of an era carry its number. */
+/**
+ * A message between processes of a group, which may be lost, delayed, duplicated or reordered. Messages that concern
+ * one era carry its number.
+ */
 sealed interface Message {
     // ---- Ballots (Lamport, Paxos Made Simple, 2001): a register whose value moves through the stages in order ----
 
@@ -35,13 +38,13 @@
      */
     record Accepted(long era, long ballot, long index, List<Incarnation> incarnations) implements Message {}
 
-    /** A higher ballot has been promised. */
+    /** Answers {@link Prepare} or {@link Accept}: the sender has promised a higher ballot. */
     record Rejected(long era, long ballot, long promisedBallot) implements Message {}
 
-    /** A majority has accepted the stage, so it is final. */
+    /** A leader announces that a majority has accepted the stage, so that it is final. */
     record Chosen(long era, long ballot, Stage stage) implements Message {}
 
-    /** Neither the sender nor any of its subscribers decides by an earlier stage any more. */
+    /** A member reports that neither it nor any of its subscribers can still decide by an earlier stage. */
     record Adopted(long era, long index) implements Message {}
 
     /** Asks a voter to lead a change to a version, or to abort the unfinished one. */
@@ -49,7 +52,7 @@
 
     // ---- contents of versions ----
 
-    /** Asks for chunks of a content from an index on. */
+    /** Asks for the chunks of a content from an index on. */
     record ChunkRequest(long version, int firstChunk) implements Message {}
 
     /**
@@ -79,7 +82,7 @@
     /** Answers {@link Validate}. */
     record Valid(long era, long version) implements Message {}
 
-    /** The sender can't apply the version, so it is activated nowhere. */
+    /** Reports that a process can't apply the version, which is therefore not activated. */
     record Invalid(long version, String reason) implements Message {}
 
     // ---- leases of members ----
@@ -95,21 +98,22 @@
     record LeaseReply(long era, int nonce, long acceptedBallot, Stage acceptedStage, boolean chosen)
             implements Message {}
 
-    // ---- leases of subscribers, which have no vote and are no members ----
+    // ---- leases of subscribers, which are not members and have no vote ----
 
     /**
      * A subscriber asks a member for a lease.
      *
      * @param processId distinguishes the subscriber's processes
      * @param era of the stage that it decides by
-     * @param index of that stage, which it never goes back from; {@link Stage#UNKNOWN_INDEX} if it has none
+     * @param index of that stage, since the subscriber never returns to an earlier one; {@link Stage#UNKNOWN_INDEX} if
+     *     it has none
      */
     record SubscriberLeaseRequest(int processId, int nonce, long era, long index) implements Message {}
 
     /**
      * Answers {@link SubscriberLeaseRequest}.
      *
-     * @param validMicros how long the subscriber may decide by this stage, from when it asked
+     * @param validMicros how long the subscriber may decide by this stage, counted from its request
      */
     record SubscriberLease(long era, int nonce, Stage stage, long validMicros) implements Message {}
 
@@ -118,13 +122,13 @@
 
     // ---- recovery of voters ----
 
-    /** A process without memory asks for the last known incarnation of its voter. */
+    /** A voter's process without state asks for the last known incarnation of its voter. */
     record RecoveryRequest(int nonce) implements Message {}
 
     /** Answers {@link RecoveryRequest} with the count of the last known incarnation; 0 if none is known. */
     record KnownIncarnation(int nonce, int count) implements Message {}
 
-    /** Answers {@link RecoveryRequest} of a voter that has no memory either. */
+    /** Answers {@link RecoveryRequest} if the sender has no state either. */
     record NoMemory(int nonce, int responderNonce) implements Message {}
 
     /** A process announces its incarnation and asks for the voters' state. */
@@ -145,12 +149,15 @@
             boolean chosen)
             implements Message {}
 
-    /** All voters were without memory at once, so no promise exists that could be broken. Nonces are by voter. */
+    /**
+     * Proposes a new era, because all voters were without state at once and so no promise exists that could be broken.
+     * Nonces are by voter.
+     */
     record Bootstrap(List<Integer> nonces) implements Message {}
 
     /** Answers {@link Bootstrap}. */
     record BootstrapAck(List<Integer> nonces) implements Message {}
 
-    /** Notifies a voter that missed an acknowledgement that the others have completed this bootstrap. */
+    /** Notifies a voter that missed an acknowledgement that the other voters have completed this bootstrap. */
     record Bootstrapped(List<Integer> nonces) implements Message {}
 }
--- a/src/main/java/loadbalancer/consensus/MessageCodec.java
+++ b/src/main/java/loadbalancer/consensus/MessageCodec.java
@@ -10,8 +10,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Encodes messages as datagrams of at most {@link #MAX_BYTES}: tag, version, register id, kind, fields, CRC-32C. Whatever is of another register
- * or version, truncated, too long or fails its checksum is not decoded. The checksum detects accidents, not attackers.
+ * Encodes messages as datagrams of at most {@link #MAX_BYTES} bytes: tag, format version, register id, kind, fields,
+ * CRC-32C. A datagram of another register or format version, or with a wrong length or checksum, is not decoded. The
+ * checksum detects accidental corruption, not attacks.
  */
 final class MessageCodec {
     static final byte TAG = 'A';
@@ -23,7 +24,7 @@
     private static final int CHECKSUM_BYTES = Integer.BYTES;
     private static final int MAX_REASON_BYTES = 160;
 
-    // Kinds of messages. A number is never reused.
+    // Message kinds. A number is never reused.
     private static final byte PREPARE = 1;
     private static final byte PROMISE = 2;
     private static final byte ACCEPT = 3;
@@ -60,17 +61,17 @@
         this.voters = voters;
     }
 
-    /** Whether a datagram is a message of this package, by its first byte. */
+    /** Whether a datagram's first byte marks it as a message of this package. */
     static boolean isMessage(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == TAG;
     }
 
-    /** Which register a datagram claims to be for; 0 if it is too short to tell. Not verified. */
+    /** Returns the register id in a datagram's header, which is not verified; 0 if the datagram is too short. */
     static int registerIdOf(byte[] datagram) {
         return datagram.length < HEADER_BYTES ? 0 : ByteBuffer.wrap(datagram).getInt(REGISTER_ID_OFFSET);
     }
 
-    /** The datagram of a message. */
+    /** Encodes a message as a datagram. */
     byte[] encode(Message message) {
         ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES).put(TAG).put(VERSION).putInt(registerId);
         boolean known = putBallotMessage(buffer, message)
@@ -78,7 +79,7 @@
                 || putLeaseMessage(buffer, message)
                 || putRecoveryMessage(buffer, message);
         if (!known) {
-            throw new IllegalArgumentException("no encoding for " + message);
+            throw new IllegalArgumentException("no encoding exists for the message " + message);
         }
         buffer.putInt(checksum(buffer.array(), buffer.position()));
         return Arrays.copyOf(buffer.array(), buffer.position());
@@ -196,7 +197,7 @@
         putBoolean(buffer, state.chosen());
     }
 
-    /** The message of a datagram; empty if it is malformed or of another register. */
+    /** Decodes a datagram; empty if it is malformed or of another register. */
     Optional<Message> decode(byte[] datagram) {
         int checksumOffset = datagram.length - CHECKSUM_BYTES;
         boolean framed = checksumOffset >= HEADER_BYTES
@@ -249,8 +250,9 @@
             case PROPOSE -> new Message.Propose(in.getLong(), readBoolean(in));
             case BOOTSTRAPPED -> new Message.Bootstrapped(readNonces(in));
             case CHUNK_REQUEST -> new Message.ChunkRequest(in.getLong(), in.getInt());
-            case CHUNK -> new Message.Chunk(in.getLong(), in.getInt(), in.getInt(), readRest(in));
-            case INVALID -> new Message.Invalid(in.getLong(), new String(readRest(in), StandardCharsets.UTF_8));
+            case CHUNK -> new Message.Chunk(in.getLong(), in.getInt(), in.getInt(), readRemainingBytes(in));
+            case INVALID -> new Message.Invalid(
+                    in.getLong(), new String(readRemainingBytes(in), StandardCharsets.UTF_8));
             case VALIDATE -> new Message.Validate(in.getLong(), in.getLong());
             case VALID -> new Message.Valid(in.getLong(), in.getLong());
             case SUBSCRIBER_LEASE_REQUEST -> new Message.SubscriberLeaseRequest(
@@ -306,7 +308,7 @@
         return nonces;
     }
 
-    private static byte[] readRest(ByteBuffer buffer) {
+    private static byte[] readRemainingBytes(ByteBuffer buffer) {
         byte[] rest = new byte[buffer.remaining()];
         buffer.get(rest);
         return rest;
--- a/src/main/java/loadbalancer/consensus/Outbox.java
+++ b/src/main/java/loadbalancer/consensus/Outbox.java
@@ -1,12 +1,12 @@
 package loadbalancer.consensus;
 
-/** Where a process puts the messages that it sends. */
+/** Takes the messages that a process sends. */
 @FunctionalInterface
 interface Outbox {
     /**
      * Sends a message, which may be lost, delayed, duplicated or reordered.
      *
-     * @param to number of the receiving process; the sender's own is allowed
+     * @param to number of the receiving process, which may be the sender
      */
     void send(int to, Message message);
 }
--- a/src/main/java/loadbalancer/consensus/Participant.java
+++ b/src/main/java/loadbalancer/consensus/Participant.java
@@ -3,64 +3,72 @@
 import java.util.function.LongPredicate;
 
 /**
- * One process of a group: its vote if it has one, its leadership while it leads, the lease that it decides by, and those that it grants to
- * subscribers. It sends messages to itself as well. Pure: time is a parameter, by the process's own monotonic clock.
+ * The protocol state of one member's process: its {@link Voter} if it has a vote, its {@link Leader} while it leads,
+ * its own lease, and the leases that it grants to subscribers. A participant also sends messages to itself. Does no
+ * I/O; times are by the process's own monotonic clock.
  */
 final class Participant {
     private final GroupConfig group;
     private final SafetyRules rules;
     private final int memberId;
-    private final LongPredicate readable;
-    /** Null without a vote. */
+    private final LongPredicate contentAvailable;
+    /** Null if this member has no vote. */
     private final Voter voter;
 
     private final LeaseHolder leaseHolder;
-    private final LeaseGrantor grantor;
-    private final SubscriberValidation validation;
+    private final LeaseGrantor leaseGrantor;
+    private final SubscriberValidation subscriberValidation;
 
-    /** Null while it does not lead. */
+    /** Null while this member does not lead. */
     private Leader leader;
-    /** The last proposal that came while it led; null without one. */
+    /** The last proposal that arrived while this member led; null if there is none. */
     private Message.Propose queuedProposal;
 
     private int queuedProposer;
-    /** The last adopted stage that was reported to a leader. */
+    /** Index of the last adopted stage that was reported to a leader. */
     private long reportedIndex = Stage.UNKNOWN_INDEX;
 
     private long reportedEra;
 
-    /** A process that can apply any version. */
+    /** Creates a participant that has the content of every version. */
     Participant(GroupConfig group, SafetyRules rules, int memberId, int nonce, long nowMicros) {
         this(group, rules, memberId, nonce, nowMicros, version -> true);
     }
 
     /**
-     * A process without memory.
+     * Creates a participant whose process has just started and has no state yet.
      *
-     * @param nonce drawn by this process, not 0
-     * @param nowMicros when the process started
-     * @param readable whether a version's content is here and valid; starts its download if it is missing
+     * @param nonce identifies this process; not 0
+     * @param nowMicros time at which the process started
+     * @param contentAvailable tells whether this process has the valid content of a version; starts its download if it
+     *     is missing
      */
-    Participant(GroupConfig group, SafetyRules rules, int memberId, int nonce, long nowMicros, LongPredicate readable) {
+    Participant(
+            GroupConfig group,
+            SafetyRules rules,
+            int memberId,
+            int nonce,
+            long nowMicros,
+            LongPredicate contentAvailable) {
         this.group = group;
         this.rules = rules;
         this.memberId = memberId;
-        this.readable = readable;
-        voter = memberId < group.voters() ? new Voter(group, rules, memberId, nonce, readable) : null;
-        leaseHolder = new LeaseHolder(group, rules, nonce * 31, readable);
-        grantor = new LeaseGrantor(group, rules, nowMicros);
-        validation = new SubscriberValidation(group);
+        this.contentAvailable = contentAvailable;
+        voter = memberId < group.voters() ? new Voter(group, rules, memberId, nonce, contentAvailable) : null;
+        leaseHolder = new LeaseHolder(group, rules, nonce * 31, contentAvailable);
+        leaseGrantor = new LeaseGrantor(group, rules, nowMicros);
+        subscriberValidation = new SubscriberValidation(group);
     }
 
     private Participant(Participant other) {
         group = other.group;
         rules = other.rules;
         memberId = other.memberId;
-        readable = other.readable;
+        contentAvailable = other.contentAvailable;
         voter = other.voter == null ? null : other.voter.copy();
         leaseHolder = other.leaseHolder.copy();
-        grantor = other.grantor.copy();
-        validation = other.validation.copy();
+        leaseGrantor = other.leaseGrantor.copy();
+        subscriberValidation = other.subscriberValidation.copy();
         leader = other.leader == null ? null : other.leader.copy();
         queuedProposal = other.queuedProposal;
         queuedProposer = other.queuedProposer;
@@ -72,12 +80,12 @@
         return new Participant(this);
     }
 
-    /** Its vote; null if it has none. */
+    /** Returns this member's voter; null if it has no vote. */
     Voter voter() {
         return voter;
     }
 
-    /** Its leadership; null while it does not lead. */
+    /** Returns this member's leader; null while it does not lead. */
     Leader leader() {
         return leader;
     }
@@ -86,12 +94,12 @@
         return leaseHolder;
     }
 
-    /** Whether it has a vote and the memory to use it. */
+    /** Whether this member has a vote and its voter is active. */
     boolean canVote() {
-        return voter != null && voter.active();
+        return voter != null && voter.isActive();
     }
 
-    /** Asks for a lease, and for its voter's state if it has no memory. */
+    /** Requests a lease, and the voter's state if it has not been recovered yet. */
     void renew(long nowMicros, Outbox outbox) {
         if (voter != null) {
             voter.recover(nowMicros, outbox);
@@ -99,18 +107,18 @@
         leaseHolder.requestLease(nowMicros, outbox);
     }
 
-    /** Starts to lead, in place of its present leadership if any; false if it can't vote. */
+    /** Starts to lead a change, in place of the one that this member leads, if any. Returns false if it can't vote. */
     boolean lead(long nowMicros, ChangeRequest request, Outbox outbox) {
         if (!canVote()) {
             return false;
         }
-        long minimumBallot = Math.max(voter.promisedBallot(), leader == null ? 0 : leader.ballot());
-        leader = new Leader(group, rules, memberId, voter, minimumBallot, request);
+        long highestKnownBallot = Math.max(voter.promisedBallot(), leader == null ? 0 : leader.ballot());
+        leader = new Leader(group, rules, memberId, voter, highestKnownBallot, request);
         leader.step(nowMicros, outbox);
         return true;
     }
 
-    /** Advances what it leads, or sends again what has not been answered. */
+    /** Advances the change that this member leads, or resends its unanswered messages. */
     void step(long nowMicros, Outbox outbox) {
         if (leader != null) {
             leader.step(nowMicros, outbox);
@@ -118,7 +126,7 @@
         }
     }
 
-    /** Takes a message of a member, which may be itself. */
+    /** Handles a message from a member, possibly from this one. */
     void receive(long nowMicros, int from, Message message, Outbox outbox) {
         if (message instanceof Message.Propose proposal) {
             onPropose(nowMicros, from, proposal, outbox);
@@ -142,7 +150,7 @@
         }
     }
 
-    /** A leader completes its present change first, and then goes on with the last proposal that came meanwhile. */
+    /** A leader completes its current change first, and then starts the last proposal that arrived meanwhile. */
     private void onPropose(long nowMicros, int from, Message.Propose proposal, Outbox outbox) {
         if (leader == null) {
             lead(nowMicros, new ChangeRequest(from, proposal.version(), proposal.abort()), outbox);
@@ -153,7 +161,7 @@
     }
 
     private void endLeadership(long nowMicros, Outbox outbox) {
-        if (!leader.isOver()) {
+        if (!leader.isFinished()) {
             return;
         }
         boolean preempted = leader.isPreempted();
@@ -165,37 +173,43 @@
         }
     }
 
-    /** Takes a message of a subscriber, whose number is no member's. */
+    /** Handles a message from a subscriber, whose number is not that of a member. */
     void receiveFromSubscriber(long nowMicros, int subscriber, Message message, Outbox outbox) {
         if (message instanceof Message.SubscriberLeaseRequest request) {
             onSubscriberLeaseRequest(nowMicros, subscriber, request, outbox);
         } else if (message instanceof Message.Valid valid) {
-            if (validation.onValid(subscriber, valid)) {
-                outbox.send(validation.leaderId(), valid);
+            if (subscriberValidation.onValid(subscriber, valid)) {
+                outbox.send(subscriberValidation.leaderId(), valid);
             }
-        } else if (message instanceof Message.Invalid invalid && validation.isValidating(invalid.version())) {
+        } else if (message instanceof Message.Invalid invalid && subscriberValidation.isValidating(invalid.version())) {
             String reason = "subscriber " + subscriber + ": " + invalid.reason();
-            outbox.send(validation.leaderId(), new Message.Invalid(invalid.version(), reason));
+            outbox.send(subscriberValidation.leaderId(), new Message.Invalid(invalid.version(), reason));
         }
     }
 
     private void onSubscriberLeaseRequest(
             long nowMicros, int subscriber, Message.SubscriberLeaseRequest request, Outbox outbox) {
-        grantor.grant(nowMicros, subscriber, request, leaseHolder).ifPresent(lease -> outbox.send(subscriber, lease));
+        leaseGrantor
+                .grant(nowMicros, subscriber, request, leaseHolder)
+                .ifPresent(lease -> outbox.send(subscriber, lease));
         if (leaseHolder.lastStage() != null) {
             reportAdopted(nowMicros, leaseHolder.leaderId(), outbox);
         }
     }
 
     private void onValidate(long nowMicros, int from, Message.Validate validate, Outbox outbox) {
-        boolean valid = readable.test(validate.version())
-                && validation.request(nowMicros, from, validate, grantor.activeSubscribers(nowMicros), outbox);
+        boolean valid = contentAvailable.test(validate.version())
+                && subscriberValidation.request(
+                        nowMicros, from, validate, leaseGrantor.activeSubscribers(nowMicros), outbox);
         if (valid) {
             outbox.send(from, new Message.Valid(validate.era(), validate.version()));
         }
     }
 
-    /** Only a hint: the member adopts a stage by a majority's replies. The leader sends it again until this member has adopted the stage. */
+    /**
+     * Treats the message as a hint, because a member adopts a stage only by a majority's replies. The leader resends
+     * the message until this member has adopted the stage.
+     */
     private void onChosen(long nowMicros, int from, Message.Chosen chosen, Outbox outbox) {
         Stage last = leaseHolder.lastStage();
         boolean known = last != null
@@ -205,7 +219,7 @@
             leaseHolder.requestLease(nowMicros, outbox);
             return;
         }
-        long adoptedIndex = grantor.adoptedIndex(nowMicros, leaseHolder);
+        long adoptedIndex = leaseGrantor.adoptedIndex(nowMicros, leaseHolder);
         if (adoptedIndex >= chosen.stage().index()) {
             outbox.send(from, new Message.Adopted(chosen.era(), adoptedIndex));
         } else {
@@ -216,12 +230,15 @@
     private void notifySubscribers(long nowMicros, Outbox outbox) {
         long index = leaseHolder.lastStage().index();
         Message hint = new Message.StageChanged(leaseHolder.era(), index);
-        grantor.subscribersBehind(nowMicros, index).forEach(subscriber -> outbox.send(subscriber, hint));
+        leaseGrantor.subscribersBehind(nowMicros, index).forEach(subscriber -> outbox.send(subscriber, hint));
     }
 
-    /** Reports each adopted stage once; if that is lost, the leader's next {@link Message.Chosen} is answered. */
+    /**
+     * Reports each adopted stage once. If the report is lost, this member answers the leader's next {@link
+     * Message.Chosen}.
+     */
     private void reportAdopted(long nowMicros, int leaderId, Outbox outbox) {
-        long adoptedIndex = grantor.adoptedIndex(nowMicros, leaseHolder);
+        long adoptedIndex = leaseGrantor.adoptedIndex(nowMicros, leaseHolder);
         boolean changed = adoptedIndex > reportedIndex || leaseHolder.era() != reportedEra;
         if (adoptedIndex != Stage.UNKNOWN_INDEX && changed) {
             reportedEra = leaseHolder.era();
@@ -230,7 +247,7 @@
         }
     }
 
-    /** Appends all that distinguishes this state from others, with times relative to now. */
+    /** Appends a description that differs between different states, with times relative to now. */
     void appendState(StringBuilder text, long nowMicros) {
         if (voter != null) {
             voter.appendState(text, nowMicros);
@@ -240,7 +257,7 @@
         }
         text.append(queuedProposal);
         leaseHolder.appendState(text, nowMicros);
-        grantor.appendState(text, nowMicros);
-        validation.appendState(text, nowMicros);
+        leaseGrantor.appendState(text, nowMicros);
+        subscriberValidation.appendState(text, nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/consensus/RandomSchedule.java
+++ b/src/main/java/loadbalancer/consensus/RandomSchedule.java
@@ -4,14 +4,14 @@
 import java.util.SplittableRandom;
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
-/** Draws the events of one random walk, with fault rates, a paused member and an isolated member of its own. */
+/** Draws the events of one random walk. Each walk has its own fault rates, paused member and isolated member. */
 final class RandomSchedule {
     /** Rates are per thousand events. */
-    private static final int ROLLS = 1_000;
+    private static final int ROLL_RANGE = 1_000;
 
     private static final int RENEW_RATE = 60;
     private static final int SUBSCRIBE_RATE = 100;
-    /** Of renewals and subscriptions while no message can be delivered. */
+    /** The rate of renewals and subscriptions while no message can be delivered. */
     private static final int IDLE_RATE = 500;
 
     private static final int STEP_RATE = 60;
@@ -25,19 +25,23 @@
     private final int crashRate;
     private final int dropRate;
     private final int tickRate;
-    /** Of ten deliveries. */
-    private final int reorderRate;
-    /** A number beyond the members pauses nobody. */
+    /** How many of ten deliveries take a random message instead of the oldest one. */
+    private final int reorderedPerTen;
+    /** The member that is paused for a while; a number above the members' pauses none. */
     private final int pausedMember;
 
     private final int pauseStart;
     private final int pauseEnd;
-    /** Hears only its subscribers for a while; a number beyond the members, or -1, isolates nobody. */
+    /**
+     * The member that exchanges no messages with other members for a while; a number above the members', or -1,
+     * isolates none.
+     */
     private final int isolatedMember;
 
     private final int isolationStart;
     private final int isolationEnd;
 
+    /** The drawn number, less the rates that it has been compared with. */
     private int roll;
 
     /** @param events length of the walk */
@@ -48,7 +52,7 @@
         crashRate = random.nextInt(16);
         dropRate = random.nextInt(120);
         tickRate = 5 + random.nextInt(60);
-        reorderRate = random.nextInt(10);
+        reorderedPerTen = random.nextInt(10);
         pausedMember = random.nextInt(2 * group.members());
         pauseStart = random.nextInt(events);
         pauseEnd = pauseStart + random.nextInt(events);
@@ -63,12 +67,12 @@
      * @param step position of the event in the walk
      */
     ExplorerEvent next(int step, List<Envelope> inTransit) {
-        roll = random.nextInt(ROLLS);
+        roll = random.nextInt(ROLL_RANGE);
         int process = random.nextInt(group.members() + subscribers);
         int voter = random.nextInt(group.voters());
         int version = 1 + random.nextInt(3);
         Envelope envelope = drawEnvelope(step, inTransit);
-        if (rolls(tickRate)) {
+        if (isSelected(tickRate)) {
             return ExplorerEvent.of(Kind.TICK, 0);
         }
         boolean idle = envelope == null;
@@ -87,37 +91,37 @@
         return event;
     }
 
-    /** Null if the roll selects none. */
+    /** Returns null if the roll selects no event. */
     private ExplorerEvent subscriberEvent(int process, boolean idle) {
-        if (rolls(crashRate)) {
+        if (isSelected(crashRate)) {
             return ExplorerEvent.of(Kind.RESTART_SUBSCRIBER, process);
         }
-        if (rolls(idle ? IDLE_RATE : SUBSCRIBE_RATE)) {
+        if (isSelected(idle ? IDLE_RATE : SUBSCRIBE_RATE)) {
             return ExplorerEvent.subscribe(process, random.nextInt(group.members()));
         }
         return null;
     }
 
-    /** Null if the roll selects none. */
+    /** Returns null if the roll selects no event. */
     private ExplorerEvent memberEvent(int process, boolean idle) {
-        if (rolls(crashRate)) {
+        if (isSelected(crashRate)) {
             return ExplorerEvent.of(Kind.CRASH, process);
         }
-        if (rolls(idle ? IDLE_RATE : RENEW_RATE)) {
+        if (isSelected(idle ? IDLE_RATE : RENEW_RATE)) {
             return ExplorerEvent.of(Kind.RENEW, process);
         }
-        return rolls(STEP_RATE) ? ExplorerEvent.of(Kind.STEP, process) : null;
+        return isSelected(STEP_RATE) ? ExplorerEvent.of(Kind.STEP, process) : null;
     }
 
-    /** Null if the roll selects none. */
+    /** Returns null if the roll selects no event. */
     private ExplorerEvent leaderEvent(int voter, int version) {
-        if (rolls(LEAD_RATE)) {
+        if (isSelected(LEAD_RATE)) {
             return ExplorerEvent.lead(voter, version);
         }
-        return rolls(ABORT_RATE) ? ExplorerEvent.of(Kind.ABORT, voter) : null;
+        return isSelected(ABORT_RATE) ? ExplorerEvent.of(Kind.ABORT, voter) : null;
     }
 
-    /** The oldest message to a process that is not paused, or sometimes a later one; null without any. */
+    /** Returns the oldest message to a process that is not paused, or sometimes a random one; null if there is none. */
     private Envelope drawEnvelope(int step, List<Envelope> inTransit) {
         List<Envelope> deliverable = inTransit.stream()
                 .filter(envelope -> !isPaused(envelope.to(), step))
@@ -125,18 +129,18 @@
         if (deliverable.isEmpty()) {
             return null;
         }
-        boolean inOrder = random.nextInt(10) >= reorderRate;
+        boolean inOrder = random.nextInt(10) >= reorderedPerTen;
         return deliverable.get(inOrder ? 0 : random.nextInt(deliverable.size()));
     }
 
     private ExplorerEvent messageEvent(Envelope envelope, int step) {
-        if (isCut(envelope, step) || rolls(dropRate)) {
+        if (isBlockedByIsolation(envelope, step) || isSelected(dropRate)) {
             return ExplorerEvent.on(Kind.DROP, envelope);
         }
         return ExplorerEvent.on(roll < DUPLICATE_RATE ? Kind.DUPLICATE : Kind.DELIVER, envelope);
     }
 
-    private boolean rolls(int rate) {
+    private boolean isSelected(int rate) {
         roll -= rate;
         return roll < 0;
     }
@@ -145,7 +149,7 @@
         return process == pausedMember && step >= pauseStart && step < pauseEnd;
     }
 
-    private boolean isCut(Envelope envelope, int step) {
+    private boolean isBlockedByIsolation(Envelope envelope, int step) {
         int from = envelope.from();
         int to = envelope.to();
         boolean betweenMembers = from < group.members() && to < group.members() && from != to;
--- a/src/main/java/loadbalancer/consensus/SafetyRule.java
+++ b/src/main/java/loadbalancer/consensus/SafetyRule.java
@@ -1,20 +1,25 @@
 package loadbalancer.consensus;
 
-/** A rule that safety depends on. {@link Explorer} runs without one at a time to show that each is necessary. */
+/**
+ * A rule that safety depends on. Tests run {@link Explorer} without one rule at a time to show that each is necessary.
+ */
 enum SafetyRule {
-    /** A voter without memory votes only after it has learned what a majority remembers. */
+    /** A voter that has lost its state votes only after it has recovered the state of a majority. */
     RECOVERY,
     /** Answers of a voter's earlier incarnation do not count towards a quorum. */
     INCARNATIONS,
     /** A joint stage lies between any two versions. */
     JOINT_STAGE,
-    /** The next stage is proposed once all members have adopted the current one, or every lease on an earlier one has expired. */
+    /**
+     * The next stage is proposed once all members have adopted the current one, or every lease on an earlier stage has
+     * expired.
+     */
     WAITING,
-    /** A process whose lease has expired decides by no stage. */
+    /** A process without a valid lease decides by no stage. */
     LEASE_END,
-    /** A stage is active for a process that hears of it from a majority, or hears that it is chosen. */
+    /** A member adopts a stage only if a majority has accepted it or a voter knows that it is chosen. */
     MAJORITY,
-    /** A member reports a stage as adopted only when none of its subscribers can still decide by an earlier one. */
+    /** A member reports a stage as adopted only when none of its subscribers can still decide by an earlier stage. */
     SUBSCRIBERS_PAST,
     /** A subscriber's lease expires no later than the lease of the member that granted it. */
     NESTED_LEASE,
--- a/src/main/java/loadbalancer/consensus/SafetyRules.java
+++ b/src/main/java/loadbalancer/consensus/SafetyRules.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /**
- * The safety rules that a process enforces; {@link #ALL} except under test.
+ * The safety rules that a process enforces: {@link #ALL}, or fewer in tests.
  *
  * @param enforced unmodifiable
  */
--- a/src/main/java/loadbalancer/consensus/ScheduleMinimizer.java
+++ b/src/main/java/loadbalancer/consensus/ScheduleMinimizer.java
@@ -3,15 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Removes events from a schedule that violates an invariant while it still does (delta debugging: Zeller, Hildebrandt, IEEE TSE 28(2), 2002). */
+/**
+ * Removes events from a schedule as long as the rest still violates an invariant (delta debugging: Zeller, Hildebrandt,
+ * IEEE TSE 28(2), 2002).
+ */
 final class ScheduleMinimizer {
-    private final ExplorerScene start;
+    private final ExplorerState start;
 
-    ScheduleMinimizer(ExplorerScene start) {
+    ScheduleMinimizer(ExplorerState start) {
         this.start = start;
     }
 
-    /** A schedule from which no event can be removed, and what it violates. */
+    /** Returns a schedule from which no event can be removed, and the violation that the schedule leads to. */
     Explorer.Violation minimize(List<ExplorerEvent> schedule) {
         List<ExplorerEvent> shortest = schedule;
         int previousSize;
@@ -40,13 +43,13 @@
         return shortest;
     }
 
-    private ExplorerScene replay(List<ExplorerEvent> schedule) {
-        ExplorerScene scene = new ExplorerScene(start);
+    private ExplorerState replay(List<ExplorerEvent> schedule) {
+        ExplorerState state = new ExplorerState(start);
         for (ExplorerEvent event : schedule) {
-            if (scene.violation == null) {
-                scene.apply(event);
+            if (state.violation == null) {
+                state.apply(event);
             }
         }
-        return scene;
+        return state;
     }
 }
--- a/src/main/java/loadbalancer/consensus/Subscriber.java
+++ b/src/main/java/loadbalancer/consensus/Subscriber.java
@@ -3,40 +3,42 @@
 import java.util.function.LongPredicate;
 
 /**
- * The stage that a process without a vote decides by, and its lease on it. It asks any one member, counts the granted time from its request by
- * its own monotonic clock, and never goes back to an earlier stage. Pure.
+ * A subscriber's lease on the stage that it decides by. The subscriber asks any one member, counts the granted time
+ * from its request by its own monotonic clock, and never goes back to an earlier stage. Does no I/O and reads no clock.
  */
 final class Subscriber {
     private final SafetyRules rules;
     private final int processId;
-    private final LongPredicate readable;
+    private final LongPredicate contentAvailable;
 
     private int nonce;
     private long requestedAtMicros;
-    private Stage stage;
+    private Stage lastStage;
     private long era;
     private long expiryMicros = Long.MIN_VALUE;
 
     /**
-     * A subscriber that knows no stage yet.
+     * Creates a subscriber that knows no stage yet.
      *
-     * @param processId drawn by this process, so that a member distinguishes its leases from those of an earlier one
-     * @param readable whether a version's content is here and valid; no other version is adopted
+     * @param processId identifies this process, so that a member distinguishes its leases from those of an earlier
+     *     process
+     * @param contentAvailable tells whether this process has the valid content of a version; stages with other versions
+     *     are not adopted
      */
-    Subscriber(SafetyRules rules, int processId, LongPredicate readable) {
+    Subscriber(SafetyRules rules, int processId, LongPredicate contentAvailable) {
         this.rules = rules;
         this.processId = processId;
-        this.readable = readable;
+        this.contentAvailable = contentAvailable;
         nonce = processId * 31;
     }
 
     private Subscriber(Subscriber other) {
         rules = other.rules;
         processId = other.processId;
-        readable = other.readable;
+        contentAvailable = other.contentAvailable;
         nonce = other.nonce;
         requestedAtMicros = other.requestedAtMicros;
-        stage = other.stage;
+        lastStage = other.lastStage;
         era = other.era;
         expiryMicros = other.expiryMicros;
     }
@@ -45,49 +47,51 @@
         return new Subscriber(this);
     }
 
-    /** A new request; only a lease granted on it counts from now on. */
+    /** Creates a new lease request. From now on only a lease granted on this request counts. */
     Message.SubscriberLeaseRequest requestLease(long nowMicros) {
         nonce++;
         requestedAtMicros = nowMicros;
-        long index = stage == null ? Stage.UNKNOWN_INDEX : stage.index();
+        long index = lastStage == null ? Stage.UNKNOWN_INDEX : lastStage.index();
         return new Message.SubscriberLeaseRequest(processId, nonce, era, index);
     }
 
-    /** Takes a granted lease; true if it leads to another stage. */
+    /** Handles a granted lease. Returns true if the subscriber adopts another stage. */
     boolean receive(long nowMicros, Message.SubscriberLease lease) {
         if (lease.nonce() != nonce) {
             return false;
         }
-        boolean sameEra = stage != null && lease.era() == era;
-        boolean stillLeased = stage != null && nowMicros < expiryMicros;
-        boolean earlier = sameEra && lease.stage().index() < stage.index();
+        boolean sameEra = lastStage != null && lease.era() == era;
+        boolean stillLeased = lastStage != null && nowMicros < expiryMicros;
+        boolean earlier = sameEra && lease.stage().index() < lastStage.index();
         if (earlier || !sameEra && stillLeased) {
             return false;
         }
-        // Not short-circuit: each test starts the download of a missing content.
-        if (!readable.test(lease.stage().oldVersion())
-                | !readable.test(lease.stage().newVersion())) {
+        // Not short-circuited, because each test starts the download of a missing content.
+        if (!contentAvailable.test(lease.stage().oldVersion())
+                | !contentAvailable.test(lease.stage().newVersion())) {
             return false;
         }
-        boolean sameStage = sameEra && lease.stage().equals(stage);
+        boolean sameStage = sameEra && lease.stage().equals(lastStage);
         long grantedUntilMicros = requestedAtMicros + lease.validMicros();
         expiryMicros = sameStage ? Math.max(expiryMicros, grantedUntilMicros) : grantedUntilMicros;
-        stage = lease.stage();
+        lastStage = lease.stage();
         era = lease.era();
         return !sameStage;
     }
 
-    /** The stage to decide by now; null without a valid lease. */
-    Stage stage(long nowMicros) {
-        return stage != null && (!rules.enforces(SafetyRule.LEASE_END) || nowMicros < expiryMicros) ? stage : null;
+    /** Returns the stage to decide by now; null without a valid lease. */
+    Stage leasedStage(long nowMicros) {
+        return lastStage != null && (!rules.enforces(SafetyRule.LEASE_END) || nowMicros < expiryMicros)
+                ? lastStage
+                : null;
     }
 
-    /** The last known stage, with or without a valid lease; null before any is known. */
+    /** Returns the last known stage, with or without a valid lease; null before any is known. */
     Stage lastStage() {
-        return stage;
+        return lastStage;
     }
 
-    /** When the last lease expires; {@link Long#MIN_VALUE} before the first. */
+    /** Returns when the last lease expires; {@link Long#MIN_VALUE} before the first. */
     long expiryMicros() {
         return expiryMicros;
     }
@@ -96,10 +100,10 @@
         return era;
     }
 
-    /** Appends all that distinguishes this state from others, with times relative to now. */
+    /** Appends a description that differs between different states, with times relative to now. */
     void appendState(StringBuilder text, long nowMicros) {
         text.append('S')
-                .append(stage)
+                .append(lastStage)
                 .append(' ')
                 .append(era & 0xffff)
                 .append(' ')
--- a/src/main/java/loadbalancer/consensus/SubscriberValidation.java
+++ b/src/main/java/loadbalancer/consensus/SubscriberValidation.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A member's validation of one version at a time by its subscribers, before it reports the version as valid to a leader. Pure. */
+/**
+ * Validation of a version by a member's subscribers, one version at a time, before the member reports the version as
+ * valid to a leader. Does no I/O and reads no clock.
+ */
 final class SubscriberValidation {
     private final GroupConfig group;
     private long era;
@@ -29,7 +32,7 @@
         return new SubscriberValidation(this);
     }
 
-    /** Asks the subscribers that have not answered; true if none is left, or the time for answers is over. */
+    /** Asks the subscribers that have not answered. Returns true if none is left, or the time for answers is over. */
     boolean request(long nowMicros, int leader, Message.Validate validate, List<Integer> subscribers, Outbox outbox) {
         leaderId = leader;
         if (validate.version() != version || validate.era() != era) {
@@ -40,7 +43,7 @@
         }
         boolean timedOut = nowMicros - startedAtMicros >= group.subscriberValidationTimeoutMicros();
         if (pending.isEmpty() || timedOut) {
-            // A later attempt to activate the same version starts over.
+            // A later attempt to activate the same version starts a new validation.
             version = Stage.NO_VERSION;
             return true;
         }
@@ -48,7 +51,7 @@
         return false;
     }
 
-    /** A subscriber has validated the version; true if it was the last one pending. */
+    /** Records that a subscriber has validated the version. Returns true if it was the last one pending. */
     boolean onValid(int subscriber, Message.Valid valid) {
         if (valid.version() != version || valid.era() != era || !pending.contains(subscriber)) {
             return false;
@@ -59,7 +62,7 @@
         return pending.isEmpty();
     }
 
-    /** The voter that asked for the validation. */
+    /** Returns the voter that asked for the validation. */
     int leaderId() {
         return leaderId;
     }
@@ -69,7 +72,7 @@
         return version != Stage.NO_VERSION && version == requestedVersion;
     }
 
-    /** Appends all that distinguishes this state from others, with times relative to now. */
+    /** Appends a description that differs between different states, with times relative to now. */
     void appendState(StringBuilder text, long nowMicros) {
         if (version != Stage.NO_VERSION) {
             text.append('V')
--- a/src/main/java/loadbalancer/consensus/Subscription.java
+++ b/src/main/java/loadbalancer/consensus/Subscription.java
@@ -5,8 +5,9 @@
 import java.util.function.Function;
 
 /**
- * A process without a vote that decides by what the members of a group agree on: a {@link Subscriber} with its datagrams and the contents of
- * versions. Its caller decides which member it asks and when. Pure, times are in microseconds of a monotonic clock; not thread-safe.
+ * A process that is not a member of a group but decides by the stages that its members agree on: a {@link Subscriber}
+ * with the encoding of its messages and the contents of versions. The caller decides which member is asked, and when.
+ * Does no I/O; times are in microseconds of a monotonic clock. Not thread-safe.
  */
 public final class Subscription {
     private final MessageCodec codec;
@@ -15,10 +16,10 @@
     private long droppedMessages;
 
     /**
-     * A subscriber without memory.
+     * Creates a subscription whose process has just started and knows no stage yet.
      *
      * @param seed different for each process
-     * @param validator why a content can't be applied here; null if it can
+     * @param validator returns why this process can't apply a content, or null if it can
      */
     public Subscription(ConsensusGroup group, long seed, Function<byte[], String> validator) {
         codec = new MessageCodec(group.registerId(), group.voters());
@@ -27,27 +28,27 @@
         subscriber = new Subscriber(SafetyRules.ALL, processId, contents::hasOrDownload);
     }
 
-    /** The stage to decide by. */
+    /** Returns the stage that this subscriber decides by. */
     public ActiveStage activeStage(long nowMicros) {
-        return ActiveStage.of(subscriber.era(), subscriber.lastStage(), subscriber.stage(nowMicros) != null);
+        return ActiveStage.of(subscriber.era(), subscriber.lastStage(), subscriber.leasedStage(nowMicros) != null);
     }
 
-    /** Whether it has ever learned a stage; before that its process is not ready. */
+    /** Whether this subscriber has ever adopted a stage; until then its process is not ready. */
     public boolean hasLearnedStage() {
         return subscriber.lastStage() != null;
     }
 
-    /** When its last lease expires, or expired; {@link Long#MIN_VALUE} before the first. */
+    /** Returns when the last lease expires or expired; {@link Long#MIN_VALUE} before the first. */
     public long leaseExpiryMicros() {
         return subscriber.expiryMicros();
     }
 
-    /** The content of a version, if it is here. */
+    /** Returns the content of a version, if this process has it. */
     public Optional<byte[]> content(long version) {
         return contents.get(version);
     }
 
-    /** Datagrams that were malformed, of another group, or not meant for a subscriber. */
+    /** Returns how many datagrams were dropped as malformed, of another group, or not meant for a subscriber. */
     public long droppedMessages() {
         return droppedMessages;
     }
@@ -67,7 +68,7 @@
         contents.requestChunks(member, true, outboxTo(sender));
     }
 
-    /** Takes a datagram of a member; from what it was the caller learns whether that member answers. */
+    /** Handles a datagram from a member. The returned kind tells the caller whether the member answers. */
     public MessageKind receive(long nowMicros, int from, byte[] datagram, DatagramSender sender) {
         Message message = codec.decode(datagram).orElse(null);
         if (message instanceof Message.SubscriberLease lease) {
@@ -90,7 +91,7 @@
 
     private void onValidate(int from, Message.Validate validate, DatagramSender sender) {
         long version = validate.version();
-        contents.announced(version, from);
+        contents.recordAnnouncement(version, from);
         if (contents.hasOrDownload(version)) {
             sender.send(from, codec.encode(new Message.Valid(validate.era(), version)));
         } else {
@@ -103,12 +104,15 @@
         return (to, message) -> sender.send(to, codec.encode(message));
     }
 
-    /** What a datagram was. */
+    /** The kind of message in a received datagram. */
     public enum MessageKind {
         LEASE_GRANTED,
-        /** A lease on another stage. By asking again the member learns that no earlier one is decided by here any more. */
+        /**
+         * A lease on another stage. When this process asks again, the member learns that the process no longer decides
+         * by an earlier stage.
+         */
         STAGE_ADOPTED,
-        /** A hint to ask again, even if the stage is known here: the member does not know that it is. */
+        /** A hint to ask again, even if this process knows the stage, because the member does not know that it does. */
         STAGE_CHANGED,
         CHUNK,
         /** Another message for a subscriber. */
--- a/src/main/java/loadbalancer/consensus/VirtualTime.java
+++ b/src/main/java/loadbalancer/consensus/VirtualTime.java
@@ -7,24 +7,27 @@
 public final class VirtualTime {
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowMicros;
-    private long scheduled;
+    private long nextSequence;
 
     /** @param nowMicros time at the start */
     public VirtualTime(long nowMicros) {
         this.nowMicros = nowMicros;
     }
 
-    /** The time now. */
+    /** Returns the current virtual time. */
     public long nowMicros() {
         return nowMicros;
     }
 
     /** Runs an action after a delay. */
     public void schedule(long delayMicros, Runnable action) {
-        events.add(new Event(nowMicros + delayMicros, scheduled++, action));
+        events.add(new Event(nowMicros + delayMicros, nextSequence++, action));
     }
 
-    /** Runs until a condition holds; the time that this took, or -1 if it did not hold within {@code timeoutMicros}. */
+    /**
+     * Runs until a condition holds. Returns the elapsed time, or -1 if the condition did not hold within {@code
+     * timeoutMicros}.
+     */
     public long runUntil(BooleanSupplier condition, long timeoutMicros) {
         long startMicros = nowMicros;
         while (!condition.getAsBoolean()) {
@@ -40,7 +43,7 @@
         return nowMicros - startMicros;
     }
 
-    /** Runs for a time. */
+    /** Runs for a duration. */
     public void run(long durationMicros) {
         runUntil(() -> false, durationMicros);
     }
--- a/src/main/java/loadbalancer/consensus/Voter.java
+++ b/src/main/java/loadbalancer/consensus/Voter.java
@@ -4,14 +4,17 @@
 import java.util.List;
 import java.util.function.LongPredicate;
 
-/** An acceptor: what one voter has promised and accepted. Without memory it takes part only in {@link VoterRecovery}. Pure. */
+/**
+ * A Paxos acceptor: the ballot that one voter has promised and the stage that it has accepted. A voter whose process
+ * has just started has no such state and takes part only in {@link VoterRecovery}. Does no I/O and reads no clock.
+ */
 final class Voter {
     private final GroupConfig group;
     private final SafetyRules rules;
     private final int voterId;
     private final int nonce;
-    /** Whether a version's content is here and valid; no other version is accepted. */
-    private final LongPredicate readable;
+    /** Whether this process has the valid content of a version; stages with other versions are not accepted. */
+    private final LongPredicate contentAvailable;
 
     private final Incarnation[] incarnations;
     private long era;
@@ -23,21 +26,21 @@
 
     /** Null once the voter is active. */
     private VoterRecovery recovery;
-    /** Nonces of the bootstrap that this process took part in; null if it recovered from others. */
+    /** Nonces of the bootstrap that this process took part in; null if it recovered its state from other voters. */
     private List<Integer> bootstrapNonces;
 
     /**
-     * A voter without memory.
+     * Creates a voter that has no state yet.
      *
-     * @param nonce drawn by this process, not 0
-     * @param readable whether a version's content is here and valid
+     * @param nonce identifies this process; not 0
+     * @param contentAvailable tells whether this process has the valid content of a version
      */
-    Voter(GroupConfig group, SafetyRules rules, int voterId, int nonce, LongPredicate readable) {
+    Voter(GroupConfig group, SafetyRules rules, int voterId, int nonce, LongPredicate contentAvailable) {
         this.group = group;
         this.rules = rules;
         this.voterId = voterId;
         this.nonce = nonce;
-        this.readable = readable;
+        this.contentAvailable = contentAvailable;
         incarnations = new Incarnation[group.voters()];
         Arrays.fill(incarnations, Incarnation.UNKNOWN);
         if (rules.enforces(SafetyRule.RECOVERY)) {
@@ -52,7 +55,7 @@
         rules = other.rules;
         voterId = other.voterId;
         nonce = other.nonce;
-        readable = other.readable;
+        contentAvailable = other.contentAvailable;
         incarnations = other.incarnations.clone();
         era = other.era;
         promisedBallot = other.promisedBallot;
@@ -68,8 +71,8 @@
         return new Voter(this);
     }
 
-    /** Whether it has recovered, and so may vote. */
-    boolean active() {
+    /** Whether the voter may vote, because it has recovered its state or bootstrapped a new era. */
+    boolean isActive() {
         return recovery == null;
     }
 
@@ -81,12 +84,15 @@
         return acceptedStage;
     }
 
-    /** Whether it knows that its accepted stage is chosen. */
+    /** Whether the voter knows that its accepted stage is chosen. */
     boolean acceptedIsChosen() {
         return acceptedIsChosen;
     }
 
-    /** Latest time at which the accepted stage was known as chosen, by its own clock; only valid if {@link #acceptedIsChosen}. */
+    /**
+     * Returns a time by this voter's clock at which the accepted stage had been chosen at the latest; only valid if
+     * {@link #acceptedIsChosen}.
+     */
     long chosenAtMicros() {
         return chosenAtMicros;
     }
@@ -95,14 +101,14 @@
         return promisedBallot;
     }
 
-    /** The latest known incarnations of all voters, by number. */
+    /** Returns the latest known incarnation of each voter, by voter number. */
     List<Incarnation> incarnations() {
         return List.of(incarnations);
     }
 
-    /** Asks the other voters for what it needs to recover; does nothing once it is active. */
+    /** Asks the other voters for the state that this voter needs to recover. Does nothing once the voter is active. */
     void recover(long nowMicros, Outbox outbox) {
-        if (active()) {
+        if (isActive()) {
             return;
         }
         if (group.voters() == 1) {
@@ -112,7 +118,7 @@
         }
     }
 
-    /** Takes a message of a member; messages that are not for a voter are ignored. */
+    /** Handles a member's message. Messages that are not meant for a voter are ignored. */
     void receive(long nowMicros, int from, Message message, Outbox outbox) {
         if (message instanceof Message.LeaseRequest request) {
             onLeaseRequest(from, request, outbox);
@@ -130,7 +136,7 @@
             onRejoin(from, rejoin, outbox);
         } else if (message instanceof Message.Bootstrap bootstrap) {
             onBootstrap(from, bootstrap, outbox);
-        } else if (!active()) {
+        } else if (!isActive()) {
             receiveInRecovery(nowMicros, from, message, outbox);
         }
     }
@@ -141,20 +147,20 @@
         } else if (message instanceof Message.NoMemory answer) {
             recovery.onNoMemory(from, answer, outbox);
         } else if (message instanceof Message.VoterState state) {
-            recovery.onVoterState(from, state).ifPresent(states -> takeOver(nowMicros, states));
+            recovery.onVoterState(from, state).ifPresent(states -> restoreState(nowMicros, states));
         } else if (message instanceof Message.BootstrapAck ack) {
             if (recovery.onBootstrapAck(from, ack)) {
                 bootstrap(nowMicros, recovery.bootstrapNonces());
             }
         } else if (message instanceof Message.Bootstrapped bootstrapped
                 && bootstrapped.nonces().get(voterId) == nonce) {
-            // This incarnation has never voted, so it may join the bootstrap that the others have completed.
+            // This incarnation has never voted, so it may join the bootstrap that the other voters have completed.
             bootstrap(nowMicros, bootstrapped.nonces());
         }
     }
 
     private void onLeaseRequest(int from, Message.LeaseRequest request, Outbox outbox) {
-        if (active()) {
+        if (isActive()) {
             outbox.send(
                     from,
                     new Message.LeaseReply(era, request.nonce(), acceptedBallot, acceptedStage, acceptedIsChosen));
@@ -162,10 +168,10 @@
     }
 
     private void onPrepare(int from, Message.Prepare prepare, Outbox outbox) {
-        if (!active() || prepare.era() != era) {
+        if (!isActive() || prepare.era() != era) {
             return;
         }
-        // An equal ballot is promised again: the first promise may have been lost.
+        // An equal ballot is promised again, because the first promise may have been lost.
         if (prepare.ballot() >= promisedBallot) {
             promisedBallot = prepare.ballot();
             outbox.send(
@@ -178,7 +184,7 @@
     }
 
     private void onAccept(int from, Message.Accept accept, Outbox outbox) {
-        if (!active() || accept.era() != era) {
+        if (!isActive() || accept.era() != era) {
             return;
         }
         if (accept.ballot() < promisedBallot) {
@@ -186,8 +192,8 @@
             return;
         }
         Stage stage = accept.stage();
-        // Not short-circuit: each test starts the download of a missing content.
-        if (!readable.test(stage.oldVersion()) | !readable.test(stage.newVersion())) {
+        // Not short-circuited, because each test starts the download of a missing content.
+        if (!contentAvailable.test(stage.oldVersion()) | !contentAvailable.test(stage.newVersion())) {
             return;
         }
         boolean newer = accept.ballot() > acceptedBallot || stage.index() > acceptedStage.index();
@@ -203,14 +209,14 @@
     }
 
     private void onChosen(long nowMicros, Message.Chosen chosen) {
-        if (active() && chosen.era() == era && chosen.stage().equals(acceptedStage) && !acceptedIsChosen) {
+        if (isActive() && chosen.era() == era && chosen.stage().equals(acceptedStage) && !acceptedIsChosen) {
             acceptedIsChosen = true;
             chosenAtMicros = nowMicros;
         }
     }
 
     private void onRecoveryRequest(int from, Message.RecoveryRequest request, Outbox outbox) {
-        if (!active()) {
+        if (!isActive()) {
             outbox.send(from, new Message.NoMemory(request.nonce(), nonce));
         } else if (bootstrapNonces != null && bootstrapNonces.get(from) == request.nonce()) {
             outbox.send(from, new Message.Bootstrapped(bootstrapNonces));
@@ -220,7 +226,7 @@
     }
 
     private void onRejoin(int from, Message.Rejoin rejoin, Outbox outbox) {
-        if (!active()) {
+        if (!isActive()) {
             return;
         }
         Incarnation rejoined = rejoin.incarnation();
@@ -240,16 +246,16 @@
     }
 
     private void onBootstrap(int from, Message.Bootstrap bootstrap, Outbox outbox) {
-        boolean withoutMemory = !active() && bootstrap.nonces().get(voterId) == nonce;
-        boolean completed = active() && era == eraOf(bootstrap.nonces());
+        boolean withoutMemory = !isActive() && bootstrap.nonces().get(voterId) == nonce;
+        boolean completed = isActive() && era == eraOf(bootstrap.nonces());
         if (withoutMemory || completed) {
             outbox.send(from, new Message.BootstrapAck(bootstrap.nonces()));
         }
     }
 
-    /** Takes over the highest promise and the latest accepted stage of a majority. */
-    private void takeOver(long nowMicros, List<Message.VoterState> states) {
-        incarnations[voterId] = recovery.nextIncarnation();
+    /** Restores the highest promise and the latest accepted stage of a majority. */
+    private void restoreState(long nowMicros, List<Message.VoterState> states) {
+        incarnations[voterId] = recovery.announcedIncarnation();
         for (Message.VoterState state : states) {
             era = state.era();
             promisedBallot = Math.max(promisedBallot, state.promisedBallot());
@@ -273,8 +279,8 @@
     }
 
     /**
-     * Begins a new era. All voters were without memory between the first answer to {@link Message.Bootstrap} and the last to
-     * {@link Message.RecoveryRequest}, so nothing that was promised is remembered anywhere.
+     * Begins a new era. Between the last answer to {@link Message.RecoveryRequest} and the first answer to {@link
+     * Message.Bootstrap} all voters were without state at the same time, so no promise is remembered anywhere.
      */
     private void bootstrap(long nowMicros, List<Integer> nonces) {
         era = eraOf(nonces);
@@ -287,7 +293,7 @@
         recovery = null;
     }
 
-    /** A hash of the nonces, which are new in each bootstrap. */
+    /** Returns a hash of the nonces, which are new in each bootstrap. */
     private static long eraOf(List<Integer> nonces) {
         long era = 1;
         for (int nonce : nonces) {
@@ -297,9 +303,9 @@
         return era;
     }
 
-    /** Appends all that distinguishes this state from others, with times relative to now. */
+    /** Appends a description that differs between different states, with times relative to now. */
     void appendState(StringBuilder text, long nowMicros) {
-        text.append(active() ? 'A' : 'b')
+        text.append(isActive() ? 'A' : 'b')
                 .append(nonce)
                 .append(' ')
                 .append(era & 0xffff)
@@ -314,7 +320,7 @@
                                 ? String.valueOf(Math.min(group.leaseExpiryMicros(), nowMicros - chosenAtMicros))
                                 : "?")
                 .append(Arrays.toString(incarnations));
-        if (!active()) {
+        if (!isActive()) {
             recovery.appendState(text);
         }
     }
--- a/src/main/java/loadbalancer/consensus/VoterAnswers.java
+++ b/src/main/java/loadbalancer/consensus/VoterAnswers.java
@@ -27,7 +27,7 @@
         return new VoterAnswers(this);
     }
 
-    /** @param incarnations of all voters by number, as far as this voter knows them */
+    /** @param incarnations of all voters by number, as far as the answering voter knows them */
     void add(int voter, List<Incarnation> incarnations) {
         answers.set(voter, incarnations);
     }
@@ -36,7 +36,10 @@
         Collections.fill(answers, null);
     }
 
-    /** Whether a majority has answered of which nobody knows that another has lost its memory since it answered. */
+    /**
+     * Whether a majority has answered, not counting a voter that has lost its state since it answered, as far as the
+     * other answers show.
+     */
     boolean isQuorum() {
         int valid = 0;
         for (int voter = 0; voter < answers.size(); voter++) {
--- a/src/main/java/loadbalancer/consensus/VoterRecovery.java
+++ b/src/main/java/loadbalancer/consensus/VoterRecovery.java
@@ -6,9 +6,10 @@
 import java.util.Optional;
 
 /**
- * How a voter's process without memory regains its vote. It learns the last known incarnation of its voter from a majority, announces the next
- * one, and takes over the state of a majority that knows of it (Viewstamped Replication Revisited, 2012, with incarnations). If all voters are
- * without memory, confirmed in a second round, they bootstrap a new era instead. Pure.
+ * Recovers the state of a voter whose process has started without it. The process learns the last known incarnation of
+ * its voter from a majority, announces the next one, and takes over the state of a majority that knows of it
+ * (Viewstamped Replication Revisited, 2012, with incarnations). If all voters are without state, confirmed in a second
+ * round, they bootstrap a new era instead. Does no I/O and reads no clock.
  */
 final class VoterRecovery {
     private final GroupConfig group;
@@ -18,19 +19,19 @@
 
     /** Last known counts of this voter's incarnations, by the voter that answered; -1 without an answer. */
     private final int[] reportedCounts;
-    /** Nonces of the voters that have no memory either; 0 without such an answer. */
-    private final int[] blankNonces;
+    /** Nonces of the voters that have no state either, by voter; 0 without such an answer. */
+    private final int[] noMemoryNonces;
     /** States of other voters, by voter; null without an answer. */
     private final Message.VoterState[] receivedStates;
 
-    /** Announced to the others; null before a majority has answered. */
-    private Incarnation nextIncarnation;
-    /** Proposed for a bootstrap; null while any voter may have memory. */
+    /** The incarnation that this process announced to the others; null before a majority has answered. */
+    private Incarnation announcedIncarnation;
+    /** The nonces of the bootstrap that this process proposed; null while any voter may have its state. */
     private List<Integer> bootstrapNonces;
-    /** Voters that have acknowledged the bootstrap, as bits by number. */
+    /** Bit mask of the voters that have acknowledged the bootstrap. */
     private int bootstrapAcks;
 
-    /** @param nonce drawn by this process, not 0 */
+    /** @param nonce identifies this process; not 0 */
     VoterRecovery(GroupConfig group, SafetyRules rules, int voterId, int nonce) {
         this.group = group;
         this.rules = rules;
@@ -38,7 +39,7 @@
         this.nonce = nonce;
         reportedCounts = new int[group.voters()];
         Arrays.fill(reportedCounts, -1);
-        blankNonces = new int[group.voters()];
+        noMemoryNonces = new int[group.voters()];
         receivedStates = new Message.VoterState[group.voters()];
     }
 
@@ -48,9 +49,9 @@
         voterId = other.voterId;
         nonce = other.nonce;
         reportedCounts = other.reportedCounts.clone();
-        blankNonces = other.blankNonces.clone();
+        noMemoryNonces = other.noMemoryNonces.clone();
         receivedStates = other.receivedStates.clone();
-        nextIncarnation = other.nextIncarnation;
+        announcedIncarnation = other.announcedIncarnation;
         bootstrapNonces = other.bootstrapNonces;
         bootstrapAcks = other.bootstrapAcks;
     }
@@ -59,25 +60,27 @@
         return new VoterRecovery(this);
     }
 
-    /** The incarnation that this process announced; only valid once {@link #onVoterState} has found a majority. */
-    Incarnation nextIncarnation() {
-        return nextIncarnation;
+    /**
+     * Returns the incarnation that this process announced; only valid once {@link #onVoterState} has found a majority.
+     */
+    Incarnation announcedIncarnation() {
+        return announcedIncarnation;
     }
 
-    /** The nonces of the bootstrap that {@link #onBootstrapAck} has completed. */
+    /** Returns the nonces of the bootstrap that {@link #onBootstrapAck} has completed. */
     List<Integer> bootstrapNonces() {
         return bootstrapNonces;
     }
 
-    /** Sends again what has not been answered. */
+    /** Resends the messages that have not been answered. */
     void resend(Outbox outbox) {
-        if (nextIncarnation != null) {
-            sendToOthers(outbox, new Message.Rejoin(nextIncarnation));
+        if (announcedIncarnation != null) {
+            sendToOthers(outbox, new Message.Rejoin(announcedIncarnation));
         } else if (bootstrapNonces != null) {
             sendToOthers(outbox, new Message.Bootstrap(bootstrapNonces));
         }
-        // In every case: a voter without memory may have recovered since, and one that sent its state may have
-        // restarted.
+        // Sent in every case, because a voter without state may have recovered since, and one that sent its state may
+        // have restarted.
         sendToOthers(outbox, new Message.RecoveryRequest(nonce));
     }
 
@@ -90,20 +93,20 @@
     }
 
     void onKnownIncarnation(int from, Message.KnownIncarnation answer, Outbox outbox) {
-        if (nextIncarnation != null || answer.nonce() != nonce) {
+        if (announcedIncarnation != null || answer.nonce() != nonce) {
             return;
         }
         reportedCounts[from] = answer.count();
         int highestCount = Arrays.stream(reportedCounts).max().orElse(-1);
         if (Arrays.stream(reportedCounts).filter(count -> count >= 0).count() >= group.majority()) {
-            nextIncarnation = new Incarnation(highestCount + 1, nonce);
-            sendToOthers(outbox, new Message.Rejoin(nextIncarnation));
+            announcedIncarnation = new Incarnation(highestCount + 1, nonce);
+            sendToOthers(outbox, new Message.Rejoin(announcedIncarnation));
         }
     }
 
-    /** The states to take over, once a majority has sent consistent ones. */
+    /** Returns the states to take over, once a majority has sent consistent ones. */
     Optional<List<Message.VoterState>> onVoterState(int from, Message.VoterState state) {
-        if (nextIncarnation == null || !nextIncarnation.equals(state.recipient())) {
+        if (announcedIncarnation == null || !announcedIncarnation.equals(state.recipient())) {
             return Optional.empty();
         }
         receivedStates[from] = state;
@@ -114,7 +117,10 @@
         return usable ? Optional.of(states) : Optional.empty();
     }
 
-    /** Whether no state's sender has recovered itself since it sent it, which could have cost it what it knew. */
+    /**
+     * Whether all states are of one era, and no sender has restarted after it sent its state and so may have lost what
+     * it knew.
+     */
     private boolean areConsistent(List<Message.VoterState> states) {
         for (int voter = 0; voter < receivedStates.length; voter++) {
             Message.VoterState received = receivedStates[voter];
@@ -136,12 +142,12 @@
         if (answer.nonce() != nonce) {
             return;
         }
-        blankNonces[from] = answer.responderNonce();
-        blankNonces[voterId] = nonce;
-        if (Arrays.stream(blankNonces).anyMatch(blankNonce -> blankNonce == 0)) {
+        noMemoryNonces[from] = answer.responderNonce();
+        noMemoryNonces[voterId] = nonce;
+        if (Arrays.stream(noMemoryNonces).anyMatch(noMemoryNonce -> noMemoryNonce == 0)) {
             return;
         }
-        List<Integer> nonces = Arrays.stream(blankNonces).boxed().toList();
+        List<Integer> nonces = Arrays.stream(noMemoryNonces).boxed().toList();
         if (!nonces.equals(bootstrapNonces)) {
             bootstrapNonces = nonces;
             bootstrapAcks = 0;
@@ -149,7 +155,7 @@
         }
     }
 
-    /** True once all other voters have acknowledged the bootstrap. */
+    /** Returns true once all other voters have acknowledged the bootstrap. */
     boolean onBootstrapAck(int from, Message.BootstrapAck ack) {
         if (!ack.nonces().equals(bootstrapNonces)) {
             return false;
@@ -158,11 +164,11 @@
         return Integer.bitCount(bootstrapAcks) == group.voters() - 1;
     }
 
-    /** Appends all that distinguishes this state from others. */
+    /** Appends a description that differs between different states. */
     void appendState(StringBuilder text) {
         text.append(Arrays.toString(reportedCounts))
-                .append(Arrays.toString(blankNonces))
-                .append(nextIncarnation)
+                .append(Arrays.toString(noMemoryNonces))
+                .append(announcedIncarnation)
                 .append(Arrays.toString(receivedStates))
                 .append(bootstrapNonces)
                 .append(bootstrapAcks);
--- a/src/main/java/loadbalancer/consensus/audit/PolicyHistory.java
+++ b/src/main/java/loadbalancer/consensus/audit/PolicyHistory.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * The stages that a fleet decided by, from the events of all its sidecars' logs, and the checks on them: one stage for each index, each
- * following the one before, no sidecar going back, and no two sidecars with valid leases on incompatible stages. Times are by the machines' wall
- * clocks, so the last check allows for their skew. Pure.
+ * The stages that a fleet decided by, from the log events of all its sidecars, and checks on them: each index has one
+ * stage, each stage follows the one before, no sidecar goes back, and no two sidecars have valid leases on incompatible
+ * stages. Times are by the machines' wall clocks, so the last check allows for their skew. Does no I/O.
  */
 public final class PolicyHistory {
     /** Events of each log, in the order of the log. */
@@ -26,17 +26,17 @@
         recordAlive(event.log, event.atMillis);
     }
 
-    /** Notes that a log's process was alive at a time. */
+    /** Records that a log's process was alive at a time. */
     public void recordAlive(String log, long atMillis) {
         lastSeenMillis.merge(log, atMillis, Math::max);
     }
 
-    /** Notes that a log's process started, without memory. */
+    /** Records that a log's process started, without the state of an earlier process. */
     public void recordRestart(String log, long atMillis) {
         add(new Event(log, atMillis, "", Event.NO_STAGE, "", ""));
     }
 
-    /** The logs that named each stage, by position in the sequence of stages. */
+    /** Returns the logs that name each stage, by position in the sequence of stages. */
     private Map<Position, Map<Stage, Set<String>>> stages() {
         Map<Position, Map<Stage, Set<String>>> stages = new LinkedHashMap<>();
         logs.forEach((log, events) -> {
@@ -67,9 +67,9 @@
     }
 
     /**
-     * The violated invariants, each with a description.
+     * Returns a description of each violated invariant.
      *
-     * @param maxClockSkewMillis between the wall clocks of two machines
+     * @param maxClockSkewMillis largest difference between the wall clocks of two machines
      */
     public List<String> violations(long maxClockSkewMillis) {
         List<String> violations = new ArrayList<>();
@@ -123,14 +123,18 @@
                 boolean adjacent = Math.abs(first.position.index - second.position.index) <= 1;
                 boolean sameEra = first.position.era.equals(second.position.era);
                 if (sameEra && !adjacent && overlapMillis > maxClockSkewMillis) {
-                    violations.add("ONE_POLICY: " + first.log + " was sure of stage " + first.position.index + " and "
-                            + second.log + " of stage " + second.position.index + " for " + overlapMillis + " ms");
+                    violations.add("ONE_POLICY: " + first.log + " had a lease on stage " + first.position.index
+                            + " and " + second.log + " on stage " + second.position.index + " for " + overlapMillis
+                            + " ms");
                 }
             }
         }
     }
 
-    /** A line for each stage, in the order in which they were first seen, with the logs that do not name it. */
+    /**
+     * Returns a line for each stage, in the order in which the stages were first seen, with the logs that do not name
+     * the stage.
+     */
     public List<String> describe() {
         Map<Position, Long> firstMillis = new LinkedHashMap<>();
         Map<Position, Long> lastMillis = new LinkedHashMap<>();
@@ -164,12 +168,12 @@
     }
 
     /**
-     * A log's process decides by another stage, or by none, from a time on.
+     * An event after which a log's process decides by another stage, or by none.
      *
-     * @param log names the sidecar
+     * @param log name of the sidecar's log
      * @param atMillis Unix time
      * @param era empty at the start of a process
-     * @param index of the stage; {@link #NO_STAGE} without a valid lease
+     * @param index index of the stage; {@link #NO_STAGE} without a valid lease
      * @param oldVersion as the log names it; equal to {@code newVersion} in a settled stage
      */
     public record Event(String log, long atMillis, String era, long index, String oldVersion, String newVersion) {
@@ -217,7 +221,7 @@
         }
     }
 
-    /** From when until when a log's process had a valid lease on a stage. */
+    /** The time for which a log's process had a valid lease on a stage. */
     private record LeaseInterval(String log, Position position, long fromMillis, long toMillis) {
         long overlapMillis(LeaseInterval other) {
             return Math.min(toMillis, other.toMillis) - Math.max(fromMillis, other.fromMillis);
--- a/src/main/java/loadbalancer/consensus/audit/PolicyLogReader.java
+++ b/src/main/java/loadbalancer/consensus/audit/PolicyLogReader.java
@@ -9,7 +9,10 @@
 import loadbalancer.json.JsonObject;
 import loadbalancer.toml.ConfigurationException;
 
-/** Reads the events of policy changes from sidecars' logs in JSON, one file for each sidecar. Lines of other events are ignored. */
+/**
+ * Reads the events of policy changes from the sidecars' JSON logs, one file for each sidecar. Other events only show
+ * that the sidecar's process was alive.
+ */
 public final class PolicyLogReader {
     private PolicyLogReader() {}
 
@@ -33,7 +36,7 @@
     /**
      * Reads the lines of one log.
      *
-     * @param log names the sidecar
+     * @param log name of the sidecar's log
      * @throws ConfigurationException if a line is malformed
      */
     public static void read(PolicyHistory history, String log, List<String> lines) throws ConfigurationException {
@@ -46,7 +49,7 @@
                 add(history, log, JsonObject.parse(line.getBytes(StandardCharsets.UTF_8)));
             } catch (IllegalArgumentException exception) {
                 throw new ConfigurationException(
-                        log + ":" + (index + 1) + ": no event of a sidecar's log: " + exception.getMessage());
+                        log + ":" + (index + 1) + ": not an event of a sidecar's log: " + exception.getMessage());
             }
         }
     }
@@ -65,13 +68,13 @@
                     line.string("from"),
                     line.string("version")));
             case "policy.careful" -> {
-                // Logged when the process goes on, which may be some time after its lease expired.
+                // A paused process logs the event when it resumes, which may be some time after its lease expired.
                 long expiredMillis = atMillis - line.integerOr("ago_ms", 0);
                 String era = line.stringOr("era", "none");
                 history.add(new PolicyHistory.Event(log, expiredMillis, era, PolicyHistory.Event.NO_STAGE, "", ""));
             }
             default -> {
-                // Another event, which only shows that the process was alive.
+                // Other events only show that the process was alive.
             }
         }
     }
--- a/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
@@ -27,7 +27,7 @@
     }
 
     /** Times are in microseconds; -1 stands for a change that not all reachable members adopted within 6 s. */
-    String play() {
+    String run() {
         times.append(simulation.runUntil(() -> simulation.allHaveAdopted(member -> true, 0), 10 * SECOND_MICROS));
         for (int change = 1; change <= CHANGES; change++) {
             makeChange(change);
@@ -35,7 +35,7 @@
         simulation.run(10 * SECOND_MICROS);
         return "messages " + simulation.sentMessages() + "; bytes " + simulation.sentBytes() + "; us " + times
                 + "; joint us "
-                + simulation.longestJointMicros() + "; voters that remember " + simulation.votersWithMemory()
+                + simulation.longestJointMicros() + "; voters that remember " + simulation.activeVoters()
                 + "; versions " + adoptedChecksum() + "; breaches "
                 + simulation.violations().size();
     }
--- a/src/test/java/loadbalancer/consensus/ConsensusRegressionTest.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusRegressionTest.java
@@ -52,9 +52,10 @@
      * States of all orders up to a depth: the greatest bound of states that the explorer reaches before it looks at states of that depth. An
      * exploration that ends at its bound reports only the bound and the depth. The recorded count is tried first, to save the search.
      */
-    private static int statesToDepth(Explorer explorer, int depth, int crashes, int leads, int ticks, int recorded) {
-        IntPredicate isBelow =
-                bound -> explorer.breadthFirst(bound, crashes, leads, ticks).depth() < depth;
+    private static int statesToDepth(
+            Explorer explorer, int depth, int crashes, int leaderStarts, int ticks, int recorded) {
+        IntPredicate isBelow = bound ->
+                explorer.breadthFirst(bound, crashes, leaderStarts, ticks).depth() < depth;
         if (isBelow.test(recorded) && !isBelow.test(recorded + 1)) {
             return recorded;
         }
@@ -102,7 +103,8 @@
         // given
         Explorer explorer = explorer(row.voters(), row.members(), row.subscribers(), row.omitted());
         // when
-        int states = statesToDepth(explorer, row.depth(), row.crashes(), row.leads(), row.ticks(), row.expected());
+        int states =
+                statesToDepth(explorer, row.depth(), row.crashes(), row.leaderStarts(), row.ticks(), row.expected());
         // then
         assertEquals(row.expected(), states);
     }
@@ -110,11 +112,11 @@
     @ParameterizedTest
     @CsvSource({"3, 3, 0, 1, 2, 5, 500", "3, 3, 2, 1, 2, 5, 300", "5, 5, 0, 1, 1, 2, 200"})
     void exhaustiveExplorationFindsNoViolation(
-            int voters, int members, int subscribers, int crashes, int leads, int ticks, int maxStates) {
+            int voters, int members, int subscribers, int crashes, int leaderStarts, int ticks, int maxStates) {
         // given
         Explorer explorer = explorer(voters, members, subscribers, ALL_RULES);
         // when
-        Explorer.Exploration exploration = explorer.breadthFirst(maxStates, crashes, leads, ticks);
+        Explorer.Exploration exploration = explorer.breadthFirst(maxStates, crashes, leaderStarts, ticks);
         // then
         assertEquals(new Explorer.Exploration(maxStates, exploration.depth(), false, null), exploration);
     }
@@ -173,11 +175,12 @@
     void drawnEventsLeaveTheRecordedMessagesAndStages(
             int voters, int members, int subscribers, String omitted, long seed, String expected) {
         // given
-        DrawnScene drawn = new DrawnScene(new GroupConfig(voters, members, 4, 4, 4), subscribers, rules(omitted), seed);
+        RandomExplorerRun run =
+                new RandomExplorerRun(new GroupConfig(voters, members, 4, 4, 4), subscribers, rules(omitted), seed);
         // when
-        drawn.play(10, 500);
+        run.run(10, 500);
         // then
-        assertEquals(expected, drawn.counts());
+        assertEquals(expected, run.counts());
     }
 
     @ParameterizedTest
@@ -207,7 +210,7 @@
         ConsensusSimulation simulation = new ConsensusSimulation(voters, members, LEASE_MICROS, seed);
         simulation.setNetwork(0.05, 0.05, 5_000);
         // when
-        String outcome = new ConsensusFaultRun(simulation, members, seed).play();
+        String outcome = new ConsensusFaultRun(simulation, members, seed).run();
         // then
         assertEquals(expected, outcome);
     }
--- a/src/test/java/loadbalancer/consensus/ConsensusSimulationTest.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusSimulationTest.java
@@ -112,12 +112,12 @@
     void partitionedMembersDelayAChangeByTheirLeaseAndNoLonger() {
         // given
         ConsensusSimulation simulation = startedGroup(5, 30, 3);
-        IntPredicate far = member -> member >= 20;
-        simulation.partition(far);
+        IntPredicate isolated = member -> member >= 20;
+        simulation.partition(isolated);
         // when
         simulation.propose(0, content(7));
         long elapsedMicros =
-                simulation.runUntil(() -> simulation.allHaveAdopted(far.negate(), version(7)), 10 * SECOND_MICROS);
+                simulation.runUntil(() -> simulation.allHaveAdopted(isolated.negate(), version(7)), 10 * SECOND_MICROS);
         // then
         assertTrue(elapsedMicros >= 0 && elapsedMicros < LEASE_MICROS + 2 * SECOND_MICROS, elapsedMicros + " us");
         assertFalse(simulation.hasValidLease(25));
--- a/src/test/java/loadbalancer/consensus/ExplorationCase.java
+++ b/src/test/java/loadbalancer/consensus/ExplorationCase.java
@@ -15,7 +15,7 @@
         int members,
         int subscribers,
         int crashes,
-        int leads,
+        int leaderStarts,
         int ticks,
         int depth,
         String omitted,
--- a/src/test/java/loadbalancer/consensus/LeasedGroup.java
+++ b/src/test/java/loadbalancer/consensus/LeasedGroup.java
@@ -9,13 +9,13 @@
 /** Three members and two subscribers whose messages are delivered in order, except for those that a test drops. Time is in steps. */
 final class LeasedGroup {
     static final int MEMBERS = 3;
-    static final long LEASE = 48;
-    static final long SUBSCRIBER_LEASE = 36;
+    static final long LEASE_STEPS = 48;
+    static final long SUBSCRIBER_LEASE_STEPS = 36;
     /** How long a leader waits for members to validate a version. */
-    static final long VALIDATION_TIMEOUT = LEASE / 3;
+    static final long VALIDATION_TIMEOUT_STEPS = LEASE_STEPS / 3;
 
-    static final int NEAR = 3;
-    static final int FAR = 4;
+    static final int SUBSCRIBER_A = 3;
+    static final int SUBSCRIBER_B = 4;
 
     private static final int STARTUP_ROUNDS = 3;
 
@@ -38,17 +38,17 @@
             renewAll();
             deliverAll();
         }
-        nowSteps += LEASE;
-        change(0, 1, LEASE);
+        nowSteps += LEASE_STEPS;
+        change(0, 1, LEASE_STEPS);
         // A change right after another would wait for the leases of both if a member is away.
-        runUntilActive(0, 2, LEASE);
-        subscribers.put(NEAR, new Subscriber(rules, ++processes, version -> true));
-        subscribers.put(FAR, new Subscriber(rules, ++processes, version -> true));
+        runUntilActive(0, 2, LEASE_STEPS);
+        subscribers.put(SUBSCRIBER_A, new Subscriber(rules, ++processes, version -> true));
+        subscribers.put(SUBSCRIBER_B, new Subscriber(rules, ++processes, version -> true));
     }
 
     /** Replaces a member's process by one without memory. */
     void restart(int member) {
-        GroupConfig group = new GroupConfig(MEMBERS, MEMBERS, LEASE, LEASE, SUBSCRIBER_LEASE);
+        GroupConfig group = new GroupConfig(MEMBERS, MEMBERS, LEASE_STEPS, LEASE_STEPS, SUBSCRIBER_LEASE_STEPS);
         members[member] = new Participant(group, rules, member, ++processes, nowSteps);
     }
 
@@ -164,13 +164,13 @@
     }
 
     boolean isActive(int member, long version) {
-        Stage stage = members[member].leaseHolder().stage(nowSteps);
+        Stage stage = members[member].leaseHolder().leasedStage(nowSteps);
         return stage != null && !stage.isJoint() && stage.newVersion() == version;
     }
 
     /** The stage that a subscriber decides by; null without a valid lease. */
-    Stage stage(int subscriber) {
-        return subscribers.get(subscriber).stage(nowSteps);
+    Stage leasedStage(int subscriber) {
+        return subscribers.get(subscriber).leasedStage(nowSteps);
     }
 
     private void renewAll() {
--- a/src/test/java/loadbalancer/consensus/ManualNetwork.java
+++ b/src/test/java/loadbalancer/consensus/ManualNetwork.java
@@ -7,7 +7,7 @@
 /** Three members whose messages a test delivers one by one. The clock stands still. */
 final class ManualNetwork {
     static final int MEMBERS = 3;
-    static final long LEASE = 4;
+    static final long LEASE_MICROS = 4;
 
     private static final int STARTUP_ROUNDS = 3;
 
@@ -36,7 +36,7 @@
 
     /** Replaces a member's process by one without memory. */
     void restart(int member) {
-        GroupConfig group = new GroupConfig(MEMBERS, MEMBERS, LEASE, LEASE);
+        GroupConfig group = new GroupConfig(MEMBERS, MEMBERS, LEASE_MICROS, LEASE_MICROS);
         members[member] = new Participant(group, rules, member, ++processes, 0);
     }
 
--- a/src/test/java/loadbalancer/consensus/ParticipantTest.java
+++ b/src/test/java/loadbalancer/consensus/ParticipantTest.java
@@ -34,7 +34,7 @@
             network.member(2).voter().recover(0, network.outboxOf(2));
             network.deliver(envelope -> !isAccept(envelope));
         }
-        assertTrue(network.member(2).voter().active());
+        assertTrue(network.member(2).voter().isActive());
         assertEquals(
                 0, network.member(2).voter().acceptedStage().index(), "the stage that it had accepted is forgotten");
         network.deliver(envelope -> envelope.to() == 0 && isAccept(envelope) || isAcceptedToLeader(envelope));
@@ -74,7 +74,7 @@
         // then
         assertFalse(leads);
         assertTrue(network.isIdle());
-        assertNull(restarted.leaseHolder().stage(0));
+        assertNull(restarted.leaseHolder().leasedStage(0));
     }
 
     @Test
@@ -82,8 +82,8 @@
         // given
         LeaseHolder holder = new ManualNetwork(SafetyRules.ALL).member(2).leaseHolder();
         // then
-        assertEquals(Stage.INITIAL, holder.stage(ManualNetwork.LEASE - 1));
-        assertNull(holder.stage(ManualNetwork.LEASE));
+        assertEquals(Stage.INITIAL, holder.leasedStage(ManualNetwork.LEASE_MICROS - 1));
+        assertNull(holder.leasedStage(ManualNetwork.LEASE_MICROS));
         assertEquals(Stage.INITIAL, holder.lastStage());
     }
 
@@ -101,7 +101,7 @@
         // then
         for (int member = 0; member < ManualNetwork.MEMBERS; member++) {
             assertEquals(
-                    new Stage(2, 0, 0), network.member(member).leaseHolder().stage(0));
+                    new Stage(2, 0, 0), network.member(member).leaseHolder().leasedStage(0));
         }
     }
 }
--- a/src/test/java/loadbalancer/consensus/DrawnScene.java
+++ b/src/test/java/loadbalancer/consensus/RandomExplorerRun.java
@@ -4,7 +4,7 @@
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
 /** Applies random events to scenes of the explorer and sums up what the scene holds after each of them. */
-final class DrawnScene {
+final class RandomExplorerRun {
     /** With more in transit only messages are drawn, so that stages are chosen. */
     private static final int MAX_IN_TRANSIT = 12;
 
@@ -21,7 +21,7 @@
     private long ticks;
     private int violations;
 
-    DrawnScene(GroupConfig group, int subscribers, SafetyRules rules, long seed) {
+    RandomExplorerRun(GroupConfig group, int subscribers, SafetyRules rules, long seed) {
         this.group = group;
         this.subscribers = subscribers;
         this.rules = rules;
@@ -29,39 +29,39 @@
     }
 
     /** Each scene ends at its first violation. */
-    void play(int scenes, int eventsEach) {
-        for (int count = 0; count < scenes; count++) {
-            ExplorerScene scene = new ExplorerScene(group, subscribers, rules);
-            start(scene);
-            for (int event = 0; event < eventsEach && scene.violation == null; event++) {
-                scene.apply(draw(scene));
+    void run(int runs, int eventsEach) {
+        for (int count = 0; count < runs; count++) {
+            ExplorerState state = new ExplorerState(group, subscribers, rules);
+            startGroup(state);
+            for (int event = 0; event < eventsEach && state.violation == null; event++) {
+                state.apply(drawEvent(state));
                 events++;
-                messagesInTransit += scene.inTransit.size();
-                addStages(scene);
+                messagesInTransit += state.inTransit.size();
+                addStages(state);
             }
-            chosenStages += scene.chosenStages();
-            incarnations += scene.processCount;
-            ticks += scene.nowTicks;
-            violations += scene.violation != null ? 1 : 0;
+            chosenStages += state.chosenStageCount();
+            incarnations += state.processCount;
+            ticks += state.nowTicks;
+            violations += state.violation != null ? 1 : 0;
         }
     }
 
-    private void start(ExplorerScene scene) {
+    private void startGroup(ExplorerState state) {
         for (int round = 0; round < 4; round++) {
             for (int member = 0; member < group.members(); member++) {
-                scene.apply(ExplorerEvent.of(Kind.RENEW, member));
+                state.apply(ExplorerEvent.of(Kind.RENEW, member));
             }
-            scene.deliverAll();
+            state.deliverAll();
         }
-        scene.apply(ExplorerEvent.lead(0, 1));
-        scene.deliverAll();
+        state.apply(ExplorerEvent.lead(0, 1));
+        state.deliverAll();
     }
 
-    private ExplorerEvent draw(ExplorerScene scene) {
+    private ExplorerEvent drawEvent(ExplorerState state) {
         int roll = random.nextInt(100);
         int member = random.nextInt(group.members());
-        if (roll >= 20 && !scene.inTransit.isEmpty() || scene.inTransit.size() > MAX_IN_TRANSIT) {
-            return drawMessage(scene);
+        if (roll >= 20 && !state.inTransit.isEmpty() || state.inTransit.size() > MAX_IN_TRANSIT) {
+            return drawMessage(state);
         } else if (roll < 4) {
             return ExplorerEvent.of(Kind.TICK, 0);
         } else if (roll < 5) {
@@ -79,20 +79,20 @@
     }
 
     /** Three of four messages in their order, else any; few of them dropped or duplicated. */
-    private ExplorerEvent drawMessage(ExplorerScene scene) {
+    private ExplorerEvent drawMessage(ExplorerState state) {
         boolean inOrder = random.nextInt(4) > 0;
-        Envelope envelope = scene.inTransit.get(inOrder ? 0 : random.nextInt(scene.inTransit.size()));
+        Envelope envelope = state.inTransit.get(inOrder ? 0 : random.nextInt(state.inTransit.size()));
         int roll = random.nextInt(40);
         Kind kind = roll < 2 ? Kind.DROP : roll < 4 ? Kind.DUPLICATE : Kind.DELIVER;
         return ExplorerEvent.on(kind, envelope);
     }
 
     /** Weighted by the process and the event, so that the same stages at other processes or events have another sum. */
-    private void addStages(ExplorerScene scene) {
+    private void addStages(ExplorerState state) {
         for (int process = 0; process < group.members() + subscribers; process++) {
             Stage stage = process < group.members()
-                    ? scene.members[process].leaseHolder().stage(scene.nowTicks)
-                    : scene.subscribers[process - group.members()].stage(scene.nowTicks);
+                    ? state.members[process].leaseHolder().leasedStage(state.nowTicks)
+                    : state.subscribers[process - group.members()].leasedStage(state.nowTicks);
             if (stage != null) {
                 long value = stage.index() * 16 + stage.oldVersion() * 4 + stage.newVersion() + 1;
                 stageSum += (process + 1) * (events % 97) * value;
--- a/src/test/java/loadbalancer/consensus/SubscriberLeaseTest.java
+++ b/src/test/java/loadbalancer/consensus/SubscriberLeaseTest.java
@@ -1,10 +1,10 @@
 package loadbalancer.consensus;
 
-import static loadbalancer.consensus.LeasedGroup.FAR;
-import static loadbalancer.consensus.LeasedGroup.LEASE;
-import static loadbalancer.consensus.LeasedGroup.NEAR;
-import static loadbalancer.consensus.LeasedGroup.SUBSCRIBER_LEASE;
-import static loadbalancer.consensus.LeasedGroup.VALIDATION_TIMEOUT;
+import static loadbalancer.consensus.LeasedGroup.LEASE_STEPS;
+import static loadbalancer.consensus.LeasedGroup.SUBSCRIBER_A;
+import static loadbalancer.consensus.LeasedGroup.SUBSCRIBER_B;
+import static loadbalancer.consensus.LeasedGroup.SUBSCRIBER_LEASE_STEPS;
+import static loadbalancer.consensus.LeasedGroup.VALIDATION_TIMEOUT_STEPS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -30,35 +30,37 @@
     @Test
     void subscriberAdoptsAChangeAtOnceAndDoesNotDelayIt() {
         // given
-        LeasedGroup group = groupWithLease(SafetyRules.ALL, NEAR, 1);
-        assertEquals(1, group.stage(NEAR).newVersion());
+        LeasedGroup group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
+        assertEquals(1, group.leasedStage(SUBSCRIBER_A).newVersion());
         // when
-        long steps = group.change(0, 2, LEASE);
+        long steps = group.change(0, 2, LEASE_STEPS);
         // then
         assertTrue(steps <= 2);
-        assertEquals(2, group.stage(NEAR).newVersion());
+        assertEquals(2, group.leasedStage(SUBSCRIBER_A).newVersion());
     }
 
     @Test
     void lostSubscriberDelaysOneChangeByItsOwnLeaseAndTheNextNotAtAll() {
         // given
-        LeasedGroup group = groupWithLease(SafetyRules.ALL, NEAR, 1);
-        group.drop(envelope -> envelope.to() == NEAR || envelope.from() == NEAR);
+        LeasedGroup group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
+        group.drop(envelope -> envelope.to() == SUBSCRIBER_A || envelope.from() == SUBSCRIBER_A);
         // when
-        long firstSteps = group.change(0, 2, 2 * LEASE);
+        long firstSteps = group.change(0, 2, 2 * LEASE_STEPS);
         // then
-        assertTrue(firstSteps >= SUBSCRIBER_LEASE - 1 && firstSteps <= SUBSCRIBER_LEASE + 2, firstSteps + " steps");
-        assertNull(group.stage(NEAR), "its lease has expired");
+        assertTrue(
+                firstSteps >= SUBSCRIBER_LEASE_STEPS - 1 && firstSteps <= SUBSCRIBER_LEASE_STEPS + 2,
+                firstSteps + " steps");
+        assertNull(group.leasedStage(SUBSCRIBER_A), "its lease has expired");
         // when
-        long secondSteps = group.change(0, 3, LEASE);
+        long secondSteps = group.change(0, 3, LEASE_STEPS);
         // then
         assertTrue(secondSteps <= 2, "nobody waits for it again");
         // when
         group.drop(envelope -> false);
-        group.requestLease(NEAR, 2);
+        group.requestLease(SUBSCRIBER_A, 2);
         group.deliverAll();
         // then
-        assertEquals(3, group.stage(NEAR).newVersion());
+        assertEquals(3, group.leasedStage(SUBSCRIBER_A).newVersion());
     }
 
     /** The version that a subscriber decides by whose member was isolated during a change and granted a lease shortly before its own expired. */
@@ -66,13 +68,13 @@
         LeasedGroup group = new LeasedGroup(rules);
         group.isolate(2);
         group.lead(0, 2);
-        group.runUntilActive(0, 2, LEASE - 1);
-        group.requestLease(FAR, 2);
+        group.runUntilActive(0, 2, LEASE_STEPS - 1);
+        group.requestLease(SUBSCRIBER_B, 2);
         group.deliverAll();
-        assertNotNull(group.stage(FAR));
-        group.runUntilActive(0, 2, VALIDATION_TIMEOUT + 2);
+        assertNotNull(group.leasedStage(SUBSCRIBER_B));
+        group.runUntilActive(0, 2, VALIDATION_TIMEOUT_STEPS + 2);
         assertTrue(group.isActive(0, 2));
-        return versionOf(group.stage(FAR));
+        return versionOf(group.leasedStage(SUBSCRIBER_B));
     }
 
     @Test
@@ -87,12 +89,12 @@
 
     /** The version that a subscriber decides by whose member has restarted, and so forgotten the lease that it granted. */
     private static long versionBehindARestartedMember(SafetyRules rules) {
-        LeasedGroup group = groupWithLease(rules, FAR, 2);
-        group.drop(envelope -> envelope.from() == FAR || envelope.to() == FAR);
+        LeasedGroup group = groupWithLease(rules, SUBSCRIBER_B, 2);
+        group.drop(envelope -> envelope.from() == SUBSCRIBER_B || envelope.to() == SUBSCRIBER_B);
         group.restart(2);
         group.change(0, 2, 3);
         assertTrue(group.isActive(0, 2) == !rules.enforces(SafetyRule.QUIET_START));
-        return versionOf(group.stage(FAR));
+        return versionOf(group.leasedStage(SUBSCRIBER_B));
     }
 
     @Test
@@ -110,44 +112,44 @@
     void leaseGrantedOnAnEarlierRequestIsIgnored() {
         // given
         LeasedGroup group = new LeasedGroup(SafetyRules.ALL);
-        group.requestLease(NEAR, 1);
+        group.requestLease(SUBSCRIBER_A, 1);
         group.deliver(group.takeOldest());
         Envelope late = group.takeOldest();
-        group.advance(SUBSCRIBER_LEASE);
-        group.subscriber(NEAR).requestLease(group.nowSteps());
+        group.advance(SUBSCRIBER_LEASE_STEPS);
+        group.subscriber(SUBSCRIBER_A).requestLease(group.nowSteps());
         // when
         group.deliver(late);
         // then
-        assertNull(group.stage(NEAR));
+        assertNull(group.leasedStage(SUBSCRIBER_A));
     }
 
     @Test
     void subscriberThatMigratesToAMemberThatKnowsLessDoesNotGoBack() {
         // given
-        LeasedGroup group = groupWithLease(SafetyRules.ALL, NEAR, 1);
+        LeasedGroup group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
         group.isolate(2);
         group.lead(0, 2);
-        group.runUntilActive(0, 2, VALIDATION_TIMEOUT + 1);
-        Stage joint = group.stage(NEAR);
+        group.runUntilActive(0, 2, VALIDATION_TIMEOUT_STEPS + 1);
+        Stage joint = group.leasedStage(SUBSCRIBER_A);
         assertTrue(joint.isJoint());
         long isolatedVersion =
-                group.member(2).leaseHolder().stage(group.nowSteps()).newVersion();
+                group.member(2).leaseHolder().leasedStage(group.nowSteps()).newVersion();
         assertEquals(1, isolatedVersion, "its lease on the previous stage is still valid");
         // when
-        group.requestLease(NEAR, 2);
+        group.requestLease(SUBSCRIBER_A, 2);
         group.deliverAll();
         // then
-        assertEquals(joint, group.stage(NEAR));
+        assertEquals(joint, group.leasedStage(SUBSCRIBER_A));
     }
 
     @Test
     void versionThatOneSubscriberRejectsIsWithdrawnWithItsReason() {
         // given
         LeasedGroup group = new LeasedGroup(SafetyRules.ALL);
-        group.requestLease(NEAR, 1);
-        group.requestLease(FAR, 2);
+        group.requestLease(SUBSCRIBER_A, 1);
+        group.requestLease(SUBSCRIBER_B, 2);
         group.deliverAll();
-        group.reject(FAR, "no such zone: 'z'");
+        group.reject(SUBSCRIBER_B, "no such zone: 'z'");
         List<String> reasons = new ArrayList<>();
         group.drop(envelope -> {
             if (envelope.to() == 0 && envelope.message() instanceof Message.Invalid invalid) {
@@ -156,13 +158,13 @@
             return false;
         });
         // when
-        group.change(0, 2, VALIDATION_TIMEOUT);
+        group.change(0, 2, VALIDATION_TIMEOUT_STEPS);
         // then
         assertEquals(1, group.member(0).leaseHolder().lastStage().newVersion());
         assertEquals("subscriber 4: no such zone: 'z'", reasons.get(0));
         // when
         group.acceptAll();
-        long steps = group.change(0, 3, LEASE);
+        long steps = group.change(0, 3, LEASE_STEPS);
         // then
         assertTrue(steps <= 2, "another version is adopted");
     }
--- a/src/test/java/loadbalancer/consensus/audit/PolicyHistoryTest.java
+++ b/src/test/java/loadbalancer/consensus/audit/PolicyHistoryTest.java
@@ -55,7 +55,7 @@
         adoptJointAndSettled("s1", 1_000);
         history.recordAlive("s1", 1_400);
         // then
-        assertOneViolation("ONE_POLICY: s1 was sure of stage 2 and s0 of stage 0");
+        assertOneViolation("ONE_POLICY: s1 had a lease on stage 2 and s0 on stage 0");
     }
 
     @Test
