--- a/src/main/java/loadbalancer/consensus/ConsensusNode.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusNode.java
@@ -39,10 +39,7 @@
     private Stage lastAccepted;
     private long lastProgressMicros;
     private long droppedMessages;
-    /**
-     * The version last proposed at this member; {@link Stage#NO_VERSION} once it is active, rejected, aborted or timed
-     * out.
-     */
+    /** The version last proposed at this member, until it is active, rejected, aborted or timed out. */
     private long pendingVersion = Stage.NO_VERSION;
 
     private long proposalDeadlineMicros;
--- a/src/main/java/loadbalancer/consensus/ConsensusSimulation.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusSimulation.java
@@ -196,8 +196,8 @@
     }
 
     /**
-     * Runs until a condition holds. Returns the elapsed time, or -1 if the condition did not hold within {@code
-     * timeoutMicros}.
+     * Runs until a condition holds. Returns the elapsed time, or -1 if the condition did not hold within
+     * {@code timeoutMicros}.
      */
     public long runUntil(BooleanSupplier condition, long timeoutMicros) {
         return time.runUntil(condition, timeoutMicros);
--- a/src/main/java/loadbalancer/consensus/ConsensusSoak.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusSoak.java
@@ -78,8 +78,8 @@
     private List<String> violations() {
         List<String> violations = new ArrayList<>(simulation.violations());
         long version = simulation.activeStage(0).newVersion();
-        boolean majorityRemembers = 2 * simulation.activeVoters() > voters;
-        if (majorityRemembers && !simulation.allHaveAdopted(member -> true, version)) {
+        boolean majorityIsActive = 2 * simulation.activeVoters() > voters;
+        if (majorityIsActive && !simulation.allHaveAdopted(member -> true, version)) {
             violations.add("EVERYWHERE_OR_NOWHERE: not all members have adopted " + version + " at the end; "
                     + simulation.activeVoters() + " active voters");
         }
--- a/src/main/java/loadbalancer/consensus/ContentStore.java
+++ b/src/main/java/loadbalancer/consensus/ContentStore.java
@@ -14,9 +14,9 @@
 
 /**
  * Caches and downloads the contents of versions. A version is the first 64 bits of its content's SHA-256, so it
- * identifies one content, and chunks from any source either make up that content or are discarded. Holds at most {@link
- * #MAX_CACHED} contents and {@link #MAX_DOWNLOADS} running downloads, each of at most {@link #MAX_CONTENT_BYTES} bytes.
- * Does no I/O and reads no clock.
+ * identifies one content, and chunks from any source either make up that content or are discarded. Holds at most
+ * {@link #MAX_CACHED} contents and {@link #MAX_DOWNLOADS} running downloads, each of at most {@link #MAX_CONTENT_BYTES}
+ * bytes. Does no I/O and reads no clock.
  */
 final class ContentStore {
     static final int MAX_CONTENT_BYTES = 16 * 1024;
--- a/src/main/java/loadbalancer/consensus/Explorer.java
+++ b/src/main/java/loadbalancer/consensus/Explorer.java
@@ -45,10 +45,7 @@
         return new Explorer(group, subscribers, rules);
     }
 
-    /**
-     * Returns the start of each schedule: all processes have started together without state and then agreed on version
-     * 1.
-     */
+    /** Returns the start of each schedule: all processes have started without state and then agreed on version 1. */
     private ExplorerState startState() {
         ExplorerState state = new ExplorerState(group, subscribers, rules);
         for (int round = 0; round < STARTUP_ROUNDS; round++) {
--- a/src/main/java/loadbalancer/consensus/LeaseGrantor.java
+++ b/src/main/java/loadbalancer/consensus/LeaseGrantor.java
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Removes expired leases. Scans all leases, at most once in the longest time of one. */
+    /** Removes expired leases. Scans all leases, at most once in the longest duration of a lease. */
     private void removeExpired(long nowMicros) {
         if (nowMicros - cleanedAtMicros >= group.subscriberLeaseMicros()) {
             cleanedAtMicros = nowMicros;
--- a/src/main/java/loadbalancer/consensus/Message.java
+++ b/src/main/java/loadbalancer/consensus/Message.java
@@ -129,7 +129,7 @@
     record KnownIncarnation(int nonce, int count) implements Message {}
 
     /** Answers {@link RecoveryRequest} if the sender has no state either. */
-    record NoMemory(int nonce, int responderNonce) implements Message {}
+    record NoState(int nonce, int responderNonce) implements Message {}
 
     /** A process announces its incarnation and asks for the voters' state. */
     record Rejoin(Incarnation incarnation) implements Message {}
--- a/src/main/java/loadbalancer/consensus/MessageCodec.java
+++ b/src/main/java/loadbalancer/consensus/MessageCodec.java
@@ -36,7 +36,7 @@
     private static final byte LEASE_REPLY = 9;
     private static final byte RECOVERY_REQUEST = 10;
     private static final byte KNOWN_INCARNATION = 11;
-    private static final byte NO_MEMORY = 12;
+    private static final byte NO_STATE = 12;
     private static final byte REJOIN = 13;
     private static final byte VOTER_STATE = 14;
     private static final byte BOOTSTRAP = 15;
@@ -74,11 +74,11 @@
     /** Encodes a message as a datagram. */
     byte[] encode(Message message) {
         ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES).put(TAG).put(VERSION).putInt(registerId);
-        boolean known = putBallotMessage(buffer, message)
+        boolean encoded = putBallotMessage(buffer, message)
                 || putContentMessage(buffer, message)
                 || putLeaseMessage(buffer, message)
                 || putRecoveryMessage(buffer, message);
-        if (!known) {
+        if (!encoded) {
             throw new IllegalArgumentException("no encoding exists for the message " + message);
         }
         buffer.putInt(checksum(buffer.array(), buffer.position()));
@@ -162,8 +162,8 @@
             buffer.put(RECOVERY_REQUEST).putInt(request.nonce());
         } else if (message instanceof Message.KnownIncarnation known) {
             buffer.put(KNOWN_INCARNATION).putInt(known.nonce()).putInt(known.count());
-        } else if (message instanceof Message.NoMemory noMemory) {
-            buffer.put(NO_MEMORY).putInt(noMemory.nonce()).putInt(noMemory.responderNonce());
+        } else if (message instanceof Message.NoState noState) {
+            buffer.put(NO_STATE).putInt(noState.nonce()).putInt(noState.responderNonce());
         } else if (message instanceof Message.Rejoin rejoin) {
             putIncarnation(buffer.put(REJOIN), rejoin.incarnation());
         } else if (message instanceof Message.VoterState state) {
@@ -200,13 +200,13 @@
     /** Decodes a datagram; empty if it is malformed or of another register. */
     Optional<Message> decode(byte[] datagram) {
         int checksumOffset = datagram.length - CHECKSUM_BYTES;
-        boolean framed = checksumOffset >= HEADER_BYTES
+        boolean validFrame = checksumOffset >= HEADER_BYTES
                 && datagram.length <= MAX_BYTES
                 && datagram[0] == TAG
                 && datagram[1] == VERSION
                 && registerIdOf(datagram) == registerId
                 && ByteBuffer.wrap(datagram).getInt(checksumOffset) == checksum(datagram, checksumOffset);
-        if (!framed) {
+        if (!validFrame) {
             return Optional.empty();
         }
         int kindOffset = HEADER_BYTES - 1;
@@ -235,7 +235,7 @@
                     in.getLong(), in.getInt(), in.getLong(), readStage(in), readBoolean(in));
             case RECOVERY_REQUEST -> new Message.RecoveryRequest(in.getInt());
             case KNOWN_INCARNATION -> new Message.KnownIncarnation(in.getInt(), in.getInt());
-            case NO_MEMORY -> new Message.NoMemory(in.getInt(), in.getInt());
+            case NO_STATE -> new Message.NoState(in.getInt(), in.getInt());
             case REJOIN -> new Message.Rejoin(readIncarnation(in));
             case VOTER_STATE -> new Message.VoterState(
                     in.getLong(),
--- a/src/main/java/loadbalancer/consensus/Participant.java
+++ b/src/main/java/loadbalancer/consensus/Participant.java
@@ -234,8 +234,8 @@
     }
 
     /**
-     * Reports each adopted stage once. If the report is lost, this member answers the leader's next {@link
-     * Message.Chosen}.
+     * Reports each adopted stage once. If the report is lost, this member answers the leader's next
+     * {@link Message.Chosen}.
      */
     private void reportAdopted(long nowMicros, int leaderId, Outbox outbox) {
         long adoptedIndex = leaseGrantor.adoptedIndex(nowMicros, leaseHolder);
--- a/src/main/java/loadbalancer/consensus/VirtualTime.java
+++ b/src/main/java/loadbalancer/consensus/VirtualTime.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Runs until a condition holds. Returns the elapsed time, or -1 if the condition did not hold within {@code
-     * timeoutMicros}.
+     * Runs until a condition holds. Returns the elapsed time, or -1 if the condition did not hold within
+     * {@code timeoutMicros}.
      */
     public long runUntil(BooleanSupplier condition, long timeoutMicros) {
         long startMicros = nowMicros;
--- a/src/main/java/loadbalancer/consensus/Voter.java
+++ b/src/main/java/loadbalancer/consensus/Voter.java
@@ -144,8 +144,8 @@
     private void receiveInRecovery(long nowMicros, int from, Message message, Outbox outbox) {
         if (message instanceof Message.KnownIncarnation answer) {
             recovery.onKnownIncarnation(from, answer, outbox);
-        } else if (message instanceof Message.NoMemory answer) {
-            recovery.onNoMemory(from, answer, outbox);
+        } else if (message instanceof Message.NoState answer) {
+            recovery.onNoState(from, answer, outbox);
         } else if (message instanceof Message.VoterState state) {
             recovery.onVoterState(from, state).ifPresent(states -> restoreState(nowMicros, states));
         } else if (message instanceof Message.BootstrapAck ack) {
@@ -217,7 +217,7 @@
 
     private void onRecoveryRequest(int from, Message.RecoveryRequest request, Outbox outbox) {
         if (!isActive()) {
-            outbox.send(from, new Message.NoMemory(request.nonce(), nonce));
+            outbox.send(from, new Message.NoState(request.nonce(), nonce));
         } else if (bootstrapNonces != null && bootstrapNonces.get(from) == request.nonce()) {
             outbox.send(from, new Message.Bootstrapped(bootstrapNonces));
         } else {
@@ -246,9 +246,9 @@
     }
 
     private void onBootstrap(int from, Message.Bootstrap bootstrap, Outbox outbox) {
-        boolean withoutMemory = !isActive() && bootstrap.nonces().get(voterId) == nonce;
+        boolean hasNoState = !isActive() && bootstrap.nonces().get(voterId) == nonce;
         boolean completed = isActive() && era == eraOf(bootstrap.nonces());
-        if (withoutMemory || completed) {
+        if (hasNoState || completed) {
             outbox.send(from, new Message.BootstrapAck(bootstrap.nonces()));
         }
     }
@@ -279,8 +279,8 @@
     }
 
     /**
-     * Begins a new era. Between the last answer to {@link Message.RecoveryRequest} and the first answer to {@link
-     * Message.Bootstrap} all voters were without state at the same time, so no promise is remembered anywhere.
+     * Begins a new era. Between the last answer to {@link Message.RecoveryRequest} and the first answer to
+     * {@link Message.Bootstrap} all voters were without state at the same time, so no promise is remembered anywhere.
      */
     private void bootstrap(long nowMicros, List<Integer> nonces) {
         era = eraOf(nonces);
--- a/src/main/java/loadbalancer/consensus/VoterRecovery.java
+++ b/src/main/java/loadbalancer/consensus/VoterRecovery.java
@@ -20,7 +20,7 @@
     /** Last known counts of this voter's incarnations, by the voter that answered; -1 without an answer. */
     private final int[] reportedCounts;
     /** Nonces of the voters that have no state either, by voter; 0 without such an answer. */
-    private final int[] noMemoryNonces;
+    private final int[] noStateNonces;
     /** States of other voters, by voter; null without an answer. */
     private final Message.VoterState[] receivedStates;
 
@@ -39,7 +39,7 @@
         this.nonce = nonce;
         reportedCounts = new int[group.voters()];
         Arrays.fill(reportedCounts, -1);
-        noMemoryNonces = new int[group.voters()];
+        noStateNonces = new int[group.voters()];
         receivedStates = new Message.VoterState[group.voters()];
     }
 
@@ -49,7 +49,7 @@
         voterId = other.voterId;
         nonce = other.nonce;
         reportedCounts = other.reportedCounts.clone();
-        noMemoryNonces = other.noMemoryNonces.clone();
+        noStateNonces = other.noStateNonces.clone();
         receivedStates = other.receivedStates.clone();
         announcedIncarnation = other.announcedIncarnation;
         bootstrapNonces = other.bootstrapNonces;
@@ -138,16 +138,16 @@
         return true;
     }
 
-    void onNoMemory(int from, Message.NoMemory answer, Outbox outbox) {
+    void onNoState(int from, Message.NoState answer, Outbox outbox) {
         if (answer.nonce() != nonce) {
             return;
         }
-        noMemoryNonces[from] = answer.responderNonce();
-        noMemoryNonces[voterId] = nonce;
-        if (Arrays.stream(noMemoryNonces).anyMatch(noMemoryNonce -> noMemoryNonce == 0)) {
+        noStateNonces[from] = answer.responderNonce();
+        noStateNonces[voterId] = nonce;
+        if (Arrays.stream(noStateNonces).anyMatch(noStateNonce -> noStateNonce == 0)) {
             return;
         }
-        List<Integer> nonces = Arrays.stream(noMemoryNonces).boxed().toList();
+        List<Integer> nonces = Arrays.stream(noStateNonces).boxed().toList();
         if (!nonces.equals(bootstrapNonces)) {
             bootstrapNonces = nonces;
             bootstrapAcks = 0;
@@ -167,7 +167,7 @@
     /** Appends a description that differs between different states. */
     void appendState(StringBuilder text) {
         text.append(Arrays.toString(reportedCounts))
-                .append(Arrays.toString(noMemoryNonces))
+                .append(Arrays.toString(noStateNonces))
                 .append(announcedIncarnation)
                 .append(Arrays.toString(receivedStates))
                 .append(bootstrapNonces)
--- a/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
@@ -5,11 +5,13 @@
 import java.util.function.IntPredicate;
 import java.util.zip.CRC32;
 
-/** Makes changes in a simulated group, with a random fault before each of them, and sums up what the simulation counts. */
+/**
+ * Makes changes in a simulated group, with a random fault before each of them, and sums up what the simulation counts.
+ */
 final class ConsensusFaultRun {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int CHANGES = 8;
-    private static final int PARTITION = 2;
+    private static final int PARTITION_FAULT = 2;
 
     private final ConsensusSimulation simulation;
     private final int members;
@@ -26,33 +28,36 @@
         return ("policy " + number + "\n").repeat(100).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Times are in microseconds; -1 stands for a change that not all reachable members adopted within 6 s. */
+    /**
+     * Runs all changes and returns the counts. Times are in microseconds; -1 stands for a change that not all reachable
+     * members adopted within 6 s.
+     */
     String run() {
         times.append(simulation.runUntil(() -> simulation.allHaveAdopted(member -> true, 0), 10 * SECOND_MICROS));
         for (int change = 1; change <= CHANGES; change++) {
             makeChange(change);
         }
         simulation.run(10 * SECOND_MICROS);
-        return "messages " + simulation.sentMessages() + "; bytes " + simulation.sentBytes() + "; us " + times
+        return "messages " + simulation.sentMessages() + "; bytes " + simulation.sentBytes() + "; times us " + times
                 + "; joint us "
-                + simulation.longestJointMicros() + "; voters that remember " + simulation.activeVoters()
-                + "; versions " + adoptedChecksum() + "; breaches "
+                + simulation.longestJointMicros() + "; active voters " + simulation.activeVoters()
+                + "; adopted checksum " + adoptedChecksum() + "; violations "
                 + simulation.violations().size();
     }
 
     private void makeChange(int change) {
         int affected = random.nextInt(members);
         int proposer = (affected + 1) % members;
-        int firstCut = 1 + random.nextInt(members - 1);
+        int firstPartitioned = 1 + random.nextInt(members - 1);
         int fault = random.nextInt(4);
         switch (fault) {
             case 0 -> simulation.kill(affected);
             case 1 -> simulation.pause(affected, random.nextLong(4 * SECOND_MICROS));
-            case PARTITION -> simulation.partition(member -> member >= firstCut);
+            case PARTITION_FAULT -> simulation.partition(member -> member >= firstPartitioned);
             default -> simulation.setNetwork(0.1, 0.1, 20_000);
         }
         IntPredicate reachable =
-                member -> (fault > 1 || member != affected) && (fault != PARTITION || member < firstCut);
+                member -> (fault > 1 || member != affected) && (fault != PARTITION_FAULT || member < firstPartitioned);
         long version = simulation.propose(proposer, content(change));
         long elapsedMicros =
                 simulation.runUntil(() -> simulation.allHaveAdopted(reachable, version), 6 * SECOND_MICROS);
@@ -65,7 +70,7 @@
         simulation.run(random.nextLong(3 * SECOND_MICROS));
     }
 
-    /** Of the number of the change that each member has adopted. */
+    /** Returns a checksum of the number of the change that each member has adopted. */
     private String adoptedChecksum() {
         CRC32 checksum = new CRC32();
         for (int member = 0; member < members; member++) {
--- a/src/test/java/loadbalancer/consensus/ConsensusRegressionTest.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusRegressionTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Pins exact counts of the consensus code, recorded before the restructuring: a restructuring must change neither the order of events nor the
- * order of random draws. A different count means a change of behaviour. Counts hold no names of types, so that renaming does not change them.
+ * Pins exact counts of the consensus code, which were recorded before a restructuring. A restructuring must change
+ * neither the order of events nor the order of random draws, so a different count means a change of behaviour. The
+ * counts contain no names of types, so that renaming does not change them.
  */
 class ConsensusRegressionTest {
     private static final long LEASE_MICROS = 3_000_000;
@@ -28,7 +29,10 @@
                 : Explorer.withSubscribers(voters, members, subscribers, rules(omitted));
     }
 
-    /** Events applied, those of the last walk, and the minimized violation: its invariant, its events and a checksum of the numbers in them. */
+    /**
+     * Formats the number of applied events, the number of events in the last walk, and the minimized violation: its
+     * invariant, its number of events and a checksum of the numbers in them.
+     */
     private static String counts(Explorer.Exploration exploration) {
         String violation = "none";
         if (exploration.violation() != null) {
@@ -39,7 +43,10 @@
         return "events " + exploration.states() + "; last walk " + exploration.depth() + "; violation " + violation;
     }
 
-    /** Of process numbers, ballots, nonces and versions in their order. Names are left out, so that renaming does not change it. */
+    /**
+     * Returns a checksum of the process numbers, ballots, nonces and versions in their order. Names are omitted, so
+     * that renaming does not change the checksum.
+     */
     private static String checksumOfNumbers(List<String> events) {
         CRC32 crc = new CRC32();
         for (String event : events) {
@@ -49,8 +56,9 @@
     }
 
     /**
-     * States of all orders up to a depth: the greatest bound of states that the explorer reaches before it looks at states of that depth. An
-     * exploration that ends at its bound reports only the bound and the depth. The recorded count is tried first, to save the search.
+     * Counts the states of all schedules up to a depth: the greatest bound of states that the explorer reaches before
+     * it expands states of that depth. An exploration that ends at its bound reports only the bound and the depth, so
+     * the count is searched for. The recorded count is tried first, to save the search.
      */
     private static int statesToDepth(
             Explorer explorer, int depth, int crashes, int leaderStarts, int ticks, int recorded) {
@@ -98,7 +106,7 @@
                     3 | 3 | 1 | 1 | 1 | 2 | 3 | NESTED_LEASE | 516
                     3 | 3 | 1 | 1 | 1 | 2 | 3 | QUIET_START | 530
                     """)
-    void exhaustiveExplorationVisitsTheRecordedStates(
+    void breadthFirstSearchVisitsTheRecordedNumberOfStates(
             @AggregateWith(ExplorationCase.FromRow.class) ExplorationCase row) {
         // given
         Explorer explorer = explorer(row.voters(), row.members(), row.subscribers(), row.omitted());
@@ -111,7 +119,7 @@
 
     @ParameterizedTest
     @CsvSource({"3, 3, 0, 1, 2, 5, 500", "3, 3, 2, 1, 2, 5, 300", "5, 5, 0, 1, 1, 2, 200"})
-    void exhaustiveExplorationFindsNoViolation(
+    void breadthFirstSearchFindsNoViolation(
             int voters, int members, int subscribers, int crashes, int leaderStarts, int ticks, int maxStates) {
         // given
         Explorer explorer = explorer(voters, members, subscribers, ALL_RULES);
@@ -121,7 +129,7 @@
         assertEquals(new Explorer.Exploration(maxStates, exploration.depth(), false, null), exploration);
     }
 
-    /** No walk finds a violation without INCARNATIONS or NESTED_LEASE: the count shows only that. */
+    /** Random walks find no violation without INCARNATIONS or NESTED_LEASE; the recorded count shows only that. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -152,27 +160,30 @@
         assertEquals(expected, counts(exploration));
     }
 
-    /** The result of a walk without a violation holds no more than its length; here the scene itself is read after each event. */
+    /**
+     * The result of a walk without a violation contains only its length, so this test reads the explorer's state after
+     * each event.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             textBlock =
                     """
-                    3 | 3 | 2 | ALL | 1 | events 5000; messages 37539; decisions 18; stages 6430696; incarnations 132; clock 10179; violations 0
-                    3 | 3 | 2 | ALL | 2 | events 5000; messages 33889; decisions 19; stages 5620058; incarnations 147; clock 10166; violations 0
-                    3 | 5 | 0 | ALL | 3 | events 5000; messages 44139; decisions 17; stages 6084772; incarnations 92; clock 10163; violations 0
-                    5 | 7 | 3 | ALL | 4 | events 5000; messages 74996; decisions 16; stages 16548347; incarnations 142; clock 10105; violations 0
-                    3 | 3 | 2 | RECOVERY | 1 | events 5000; messages 42054; decisions 20; stages 11072419; incarnations 131; clock 10143; violations 0
-                    3 | 3 | 2 | INCARNATIONS | 1 | events 5000; messages 37539; decisions 18; stages 6430696; incarnations 132; clock 10179; violations 0
-                    3 | 3 | 2 | JOINT_STAGE | 1 | events 5000; messages 39275; decisions 19; stages 8985874; incarnations 143; clock 10149; violations 0
-                    3 | 3 | 2 | WAITING | 1 | events 4228; messages 30342; decisions 41; stages 42809673; incarnations 109; clock 10139; violations 3
-                    3 | 3 | 2 | LEASE_END | 1 | events 5000; messages 37539; decisions 18; stages 10749236; incarnations 132; clock 10179; violations 0
-                    3 | 3 | 2 | MAJORITY | 1 | events 5000; messages 37626; decisions 24; stages 11925852; incarnations 123; clock 10145; violations 0
-                    3 | 3 | 2 | SUBSCRIBERS_PAST | 1 | events 5000; messages 38863; decisions 24; stages 7221191; incarnations 140; clock 10147; violations 0
-                    3 | 3 | 2 | NESTED_LEASE | 1 | events 5000; messages 44380; decisions 21; stages 8915293; incarnations 130; clock 10157; violations 0
-                    3 | 3 | 2 | QUIET_START | 1 | events 5000; messages 35587; decisions 41; stages 55168804; incarnations 133; clock 10161; violations 0
+                    3 | 3 | 2 | ALL | 1 | events 5000; messages 37539; chosen stages 18; stage sum 6430696; incarnations 132; ticks 10179; violations 0
+                    3 | 3 | 2 | ALL | 2 | events 5000; messages 33889; chosen stages 19; stage sum 5620058; incarnations 147; ticks 10166; violations 0
+                    3 | 5 | 0 | ALL | 3 | events 5000; messages 44139; chosen stages 17; stage sum 6084772; incarnations 92; ticks 10163; violations 0
+                    5 | 7 | 3 | ALL | 4 | events 5000; messages 74996; chosen stages 16; stage sum 16548347; incarnations 142; ticks 10105; violations 0
+                    3 | 3 | 2 | RECOVERY | 1 | events 5000; messages 42054; chosen stages 20; stage sum 11072419; incarnations 131; ticks 10143; violations 0
+                    3 | 3 | 2 | INCARNATIONS | 1 | events 5000; messages 37539; chosen stages 18; stage sum 6430696; incarnations 132; ticks 10179; violations 0
+                    3 | 3 | 2 | JOINT_STAGE | 1 | events 5000; messages 39275; chosen stages 19; stage sum 8985874; incarnations 143; ticks 10149; violations 0
+                    3 | 3 | 2 | WAITING | 1 | events 4228; messages 30342; chosen stages 41; stage sum 42809673; incarnations 109; ticks 10139; violations 3
+                    3 | 3 | 2 | LEASE_END | 1 | events 5000; messages 37539; chosen stages 18; stage sum 10749236; incarnations 132; ticks 10179; violations 0
+                    3 | 3 | 2 | MAJORITY | 1 | events 5000; messages 37626; chosen stages 24; stage sum 11925852; incarnations 123; ticks 10145; violations 0
+                    3 | 3 | 2 | SUBSCRIBERS_PAST | 1 | events 5000; messages 38863; chosen stages 24; stage sum 7221191; incarnations 140; ticks 10147; violations 0
+                    3 | 3 | 2 | NESTED_LEASE | 1 | events 5000; messages 44380; chosen stages 21; stage sum 8915293; incarnations 130; ticks 10157; violations 0
+                    3 | 3 | 2 | QUIET_START | 1 | events 5000; messages 35587; chosen stages 41; stage sum 55168804; incarnations 133; ticks 10161; violations 0
                     """)
-    void drawnEventsLeaveTheRecordedMessagesAndStages(
+    void randomEventsLeadToTheRecordedCounts(
             int voters, int members, int subscribers, String omitted, long seed, String expected) {
         // given
         RandomExplorerRun run =
@@ -199,13 +210,13 @@
             delimiter = '|',
             textBlock =
                     """
-                    3 | 5 | 1 | messages 3830; bytes 164515; us 1048918 -1 2334331 2905645 4733209 2148717 -1 1841900 -1; joint us 3193517; voters that remember 3; versions fbf7c7b1; breaches 0
-                    3 | 5 | 2 | messages 3558; bytes 163448; us 995704 3738145 5328090 421511 4988768 -1 1457926 -1 1087307; joint us 3238174; voters that remember 3; versions fbf7c7b1; breaches 0
-                    3 | 12 | 3 | messages 9878; bytes 445747; us 1003511 -1 -1 1309965 -1 -1 -1 1639579 4511323; joint us 3179598; voters that remember 3; versions 5e99542b; breaches 0
-                    5 | 12 | 4 | messages 14580; bytes 613484; us 940624 -1 1232379 1822155 1837653 3873486 3636112 -1 5568365; joint us 3147050; voters that remember 5; versions 5e99542b; breaches 0
-                    5 | 20 | 5 | messages 22313; bytes 949250; us 1330052 3576132 2268346 5228494 974678 1221250 3784221 1085737 708899; joint us 3180758; voters that remember 5; versions 9a62bdff; breaches 0
+                    3 | 5 | 1 | messages 3830; bytes 164515; times us 1048918 -1 2334331 2905645 4733209 2148717 -1 1841900 -1; joint us 3193517; active voters 3; adopted checksum fbf7c7b1; violations 0
+                    3 | 5 | 2 | messages 3558; bytes 163448; times us 995704 3738145 5328090 421511 4988768 -1 1457926 -1 1087307; joint us 3238174; active voters 3; adopted checksum fbf7c7b1; violations 0
+                    3 | 12 | 3 | messages 9878; bytes 445747; times us 1003511 -1 -1 1309965 -1 -1 -1 1639579 4511323; joint us 3179598; active voters 3; adopted checksum 5e99542b; violations 0
+                    5 | 12 | 4 | messages 14580; bytes 613484; times us 940624 -1 1232379 1822155 1837653 3873486 3636112 -1 5568365; joint us 3147050; active voters 5; adopted checksum 5e99542b; violations 0
+                    5 | 20 | 5 | messages 22313; bytes 949250; times us 1330052 3576132 2268346 5228494 974678 1221250 3784221 1085737 708899; joint us 3180758; active voters 5; adopted checksum 9a62bdff; violations 0
                     """)
-    void simulatedFaultsTakeTheRecordedMessagesAndTimes(int voters, int members, long seed, String expected) {
+    void simulatedFaultsLeadToTheRecordedCounts(int voters, int members, long seed, String expected) {
         // given
         ConsensusSimulation simulation = new ConsensusSimulation(voters, members, LEASE_MICROS, seed);
         simulation.setNetwork(0.05, 0.05, 5_000);
--- a/src/test/java/loadbalancer/consensus/ConsensusSimulationTest.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusSimulationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Groups of the real state machine with faults, on virtual time. */
+/** Tests groups of real consensus nodes with faults, on virtual time. */
 class ConsensusSimulationTest {
     private static final long LEASE_MICROS = 3_000_000;
     private static final long SECOND_MICROS = 1_000_000;
@@ -21,7 +21,7 @@
     /** Index of the policy's number in {@link #content}. */
     private static final int NUMBER_INDEX = 7;
 
-    /** A policy of several chunks. */
+    /** A content of several chunks. */
     private static byte[] content(int policy) {
         return ("policy " + policy + "\n").repeat(100).getBytes(StandardCharsets.UTF_8);
     }
@@ -36,8 +36,9 @@
 
     private static ConsensusSimulation started(ConsensusSimulation simulation) {
         simulation.setNetwork(0.05, 0.05, 5_000);
-        assertTrue(adopts(simulation, ALL, 0, 10), "all members start");
-        // A change right after another has to wait for both if a member is missing.
+        assertTrue(adopts(simulation, ALL, 0, 10), "all members adopt the initial stage");
+        // Runs for longer than a lease: a change directly after another one would wait for the leases of both if a
+        // member is unreachable.
         simulation.run(4 * SECOND_MICROS);
         return simulation;
     }
@@ -57,8 +58,8 @@
         // when
         simulation.propose(2, content(7));
         // then
-        assertTrue(adopts(simulation, member -> member == 2, version(7), 1), "at the proposer");
-        assertTrue(adopts(simulation, ALL, version(7), 1), "everywhere");
+        assertTrue(adopts(simulation, member -> member == 2, version(7), 1), "the proposer adopts the change");
+        assertTrue(adopts(simulation, ALL, version(7), 1), "all members adopt the change");
         long jointMicros = simulation.longestJointMicros();
         assertTrue(jointMicros <= 500_000, jointMicros + " us of a joint stage");
         assertNoViolations(simulation);
@@ -69,22 +70,24 @@
         // given
         ConsensusSimulation simulation = startedGroup(5, 60, 1);
         simulation.propose(2, content(7));
-        assertTrue(adopts(simulation, ALL, version(7), 2), "everywhere");
+        assertTrue(adopts(simulation, ALL, version(7), 2), "all members adopt the first change");
         simulation.run(4 * SECOND_MICROS);
         simulation.kill(40);
         simulation.propose(2, content(8));
-        assertTrue(adopts(simulation, member -> member != 40, version(8), 5), "at the running members");
+        assertTrue(
+                adopts(simulation, member -> member != 40, version(8), 5),
+                "the running members adopt the second change");
         // when
         simulation.start(40);
         // then
-        assertFalse(simulation.hasValidLease(40), "no lease before it has learned the stage");
+        assertFalse(simulation.hasValidLease(40), "the restarted member has no lease before it has learned the stage");
         assertTrue(simulation.runUntil(() -> simulation.hasValidLease(40), 2 * SECOND_MICROS) >= 0);
-        assertTrue(simulation.hasAdopted(40, version(8)), "and then the missed change");
+        assertTrue(simulation.hasAdopted(40, version(8)), "the restarted member adopts the change that it missed");
         assertNoViolations(simulation);
     }
 
     @Test
-    void changeWhoseProposerCrashesAtAnyStepIsAdoptedEverywhereOrNowhere() {
+    void changeWhoseProposerCrashesIsAdoptedEverywhereOrNowhere() {
         for (long crashMillis = 1; crashMillis < 200; crashMillis += 7) {
             // given
             ConsensusSimulation simulation = startedGroup(5, 12, crashMillis);
@@ -109,7 +112,7 @@
     }
 
     @Test
-    void partitionedMembersDelayAChangeByTheirLeaseAndNoLonger() {
+    void partitionedMembersDelayAChangeNoLongerThanTheirLease() {
         // given
         ConsensusSimulation simulation = startedGroup(5, 30, 3);
         IntPredicate isolated = member -> member >= 20;
@@ -124,7 +127,7 @@
         // when
         simulation.partition(member -> false);
         // then
-        assertTrue(adopts(simulation, ALL, version(7), 3), "after the partition");
+        assertTrue(adopts(simulation, ALL, version(7), 3), "all members adopt the change after the partition");
         assertNoViolations(simulation);
     }
 
@@ -145,7 +148,7 @@
     }
 
     @Test
-    void groupThatHasLostAllMemoryBootstrapsANewEra() {
+    void groupWhoseMembersHaveAllRestartedBootstrapsANewEra() {
         // given
         ConsensusSimulation simulation = startedGroup(3, 10, 5);
         simulation.propose(0, content(7));
@@ -166,16 +169,16 @@
     }
 
     @Test
-    void randomFaultsViolateNothingAndAllMembersAgreeAfterThem() {
+    void randomFaultsViolateNoInvariantAndAllMembersAgreeAfterwards() {
         for (long seed = 1; seed <= 60; seed++) {
             assertEquals(List.of(), ConsensusSoak.run(5, 16, LEASE_MICROS, seed), "seed " + seed);
         }
     }
 
-    /** The first is a voter, the other is not. */
+    /** Member 1 is a voter, member 8 is not. */
     @ParameterizedTest
     @ValueSource(ints = {1, 8})
-    void contentThatOneMemberRejectsIsAdoptedNowhere(int rejecting) {
+    void contentThatOneMemberRejectsIsNotAdopted(int rejecting) {
         // given
         ConsensusSimulation simulation = started(new ConsensusSimulation(
                 3,
--- a/src/test/java/loadbalancer/consensus/ContentStoreTest.java
+++ b/src/test/java/loadbalancer/consensus/ContentStoreTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ContentStoreTest {
-    private static final Outbox NOWHERE = (to, message) -> {};
+    private static final Outbox DISCARD = (to, message) -> {};
 
     private final ContentStore source = new ContentStore(content -> null);
-    private final ContentStore target = new ContentStore(content -> content[0] == 'x' ? "an x" : null);
+    private final ContentStore target = new ContentStore(content -> content[0] == 'x' ? "starts with x" : null);
 
     private static byte[] content(int bytes, int seed) {
         byte[] content = new byte[bytes];
@@ -35,7 +35,7 @@
             requests().forEach(request -> source.receive(1, request, (to, chunk) -> chunks.add(chunk)));
             chunks.addAll(List.copyOf(chunks));
             Collections.shuffle(chunks, new Random(round));
-            chunks.forEach(chunk -> target.receive(0, chunk, NOWHERE));
+            chunks.forEach(chunk -> target.receive(0, chunk, DISCARD));
         }
     }
 
@@ -48,7 +48,7 @@
     @ParameterizedTest
     @ValueSource(
             ints = {1, ContentStore.CHUNK_BYTES, ContentStore.CHUNK_BYTES + 1, 5_000, ContentStore.MAX_CONTENT_BYTES})
-    void downloadedContentIsTheOneThatTheVersionNames(int bytes) {
+    void downloadedContentIsTheOneThatTheVersionIdentifies(int bytes) {
         // given
         byte[] content = content(bytes, bytes);
         long version = source.put(content).orElseThrow();
@@ -68,7 +68,7 @@
         assertFalse(target.hasOrDownload(version));
         // when
         for (int index = 0; index < 3; index++) {
-            target.receive(0, new Message.Chunk(version, index, 500, new byte[index < 2 ? 200 : 100]), NOWHERE);
+            target.receive(0, new Message.Chunk(version, index, 500, new byte[index < 2 ? 200 : 100]), DISCARD);
         }
         // then
         assertEquals(Optional.empty(), target.get(version));
@@ -80,7 +80,7 @@
             new Message.Chunk(version, 0, 500, new byte[7]),
             new Message.Chunk(version, 0, -5, new byte[0])
         }) {
-            target.receive(0, malformed, NOWHERE);
+            target.receive(0, malformed, DISCARD);
         }
         download(10);
         // then
@@ -98,12 +98,12 @@
         download(10);
         // then
         assertFalse(target.hasOrDownload(version));
-        assertEquals(Optional.of("an x"), target.rejectionReason(version));
+        assertEquals(Optional.of("starts with x"), target.rejectionReason(version));
         assertFalse(target.isDownloading());
     }
 
     @Test
-    void cachedAndDownloadingContentsAreBounded() {
+    void cachedContentsAndDownloadsAreBounded() {
         // given
         List<Long> versions = new ArrayList<>();
         // when
--- a/src/test/java/loadbalancer/consensus/ExplorationCase.java
+++ b/src/test/java/loadbalancer/consensus/ExplorationCase.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.params.aggregator.ArgumentsAggregator;
 
 /**
- * An exhaustive exploration and the recorded number of its states.
+ * A breadth-first exploration and the recorded number of its states.
  *
- * @param omitted the safety rule that is left out
- * @param expected states up to the depth
+ * @param omitted name of the safety rule that is omitted, or ALL if none is
+ * @param expected recorded number of states up to the depth
  */
 record ExplorationCase(
         int voters,
--- a/src/test/java/loadbalancer/consensus/ExplorerTest.java
+++ b/src/test/java/loadbalancer/consensus/ExplorerTest.java
@@ -27,7 +27,7 @@
 
     private static String describe(Exploration exploration) {
         return exploration.violation() == null
-                ? "nothing in " + exploration.states() + " states"
+                ? "no violation in " + exploration.states() + " states"
                 : exploration.violation().description() + "\n"
                         + String.join("\n", exploration.violation().events());
     }
@@ -93,7 +93,10 @@
         assertTrue(exploration.states() >= 10_000, exploration.states() + " states");
     }
 
-    /** {@link SafetyRule#NESTED_LEASE} is not found at random; {@link SubscriberLeaseTest} runs the schedule that needs it. */
+    /**
+     * Random walks find no violation without {@link SafetyRule#NESTED_LEASE}; {@link SubscriberLeaseTest} runs a
+     * schedule that violates an invariant without that rule.
+     */
     @ParameterizedTest
     @EnumSource(
             value = SafetyRule.class,
--- a/src/test/java/loadbalancer/consensus/LeasedGroup.java
+++ b/src/test/java/loadbalancer/consensus/GroupWithSubscribers.java
@@ -6,8 +6,11 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Three members and two subscribers whose messages are delivered in order, except for those that a test drops. Time is in steps. */
-final class LeasedGroup {
+/**
+ * Three members and two subscribers whose messages are delivered in order, except for those that a test drops. Time is
+ * in steps.
+ */
+final class GroupWithSubscribers {
     static final int MEMBERS = 3;
     static final long LEASE_STEPS = 48;
     static final long SUBSCRIBER_LEASE_STEPS = 36;
@@ -28,8 +31,8 @@
     private long nowSteps;
     private int processes;
 
-    /** Version 1 is active at all members; subscribers have not asked yet. */
-    LeasedGroup(SafetyRules rules) {
+    /** Creates a group in which version 1 is active at all members and no subscriber has requested a lease. */
+    GroupWithSubscribers(SafetyRules rules) {
         this.rules = rules;
         for (int member = 0; member < MEMBERS; member++) {
             restart(member);
@@ -40,13 +43,14 @@
         }
         nowSteps += LEASE_STEPS;
         change(0, 1, LEASE_STEPS);
-        // A change right after another would wait for the leases of both if a member is away.
+        // Runs for longer than a lease: a change directly after another one would wait for the leases of both if a
+        // member is unreachable.
         runUntilActive(0, 2, LEASE_STEPS);
         subscribers.put(SUBSCRIBER_A, new Subscriber(rules, ++processes, version -> true));
         subscribers.put(SUBSCRIBER_B, new Subscriber(rules, ++processes, version -> true));
     }
 
-    /** Replaces a member's process by one without memory. */
+    /** Replaces a member's process by one without state. */
     void restart(int member) {
         GroupConfig group = new GroupConfig(MEMBERS, MEMBERS, LEASE_STEPS, LEASE_STEPS, SUBSCRIBER_LEASE_STEPS);
         members[member] = new Participant(group, rules, member, ++processes, nowSteps);
@@ -68,7 +72,7 @@
         nowSteps += steps;
     }
 
-    /** From now on these messages are lost, in place of those before. */
+    /** Drops the messages that the predicate selects, in place of those selected before. */
     void drop(Predicate<Envelope> envelopes) {
         dropped = envelopes;
     }
@@ -80,7 +84,7 @@
                 && (envelope.from() == member) != (envelope.to() == member));
     }
 
-    /** From now on a subscriber rejects every version. */
+    /** Lets a subscriber reject every version from now on. */
     void reject(int subscriber, String reason) {
         rejections.put(subscriber, reason);
     }
@@ -143,7 +147,7 @@
         deliverAll();
     }
 
-    /** Runs until a version alone is active at a member, or for {@code maxSteps}; the steps that this took. */
+    /** Runs until a version alone is active at a member, or for {@code maxSteps}. Returns the elapsed steps. */
     long runUntilActive(int member, long version, long maxSteps) {
         long startSteps = nowSteps;
         while (!isActive(member, version) && nowSteps - startSteps < maxSteps) {
@@ -157,7 +161,10 @@
         return nowSteps - startSteps;
     }
 
-    /** Leads to a version and runs until it is active there, or for {@code maxSteps}; the steps that this took. */
+    /**
+     * Leads a change to a version and runs until the version is active at the leader, or for {@code maxSteps}. Returns
+     * the elapsed steps.
+     */
     long change(int leader, long version, long maxSteps) {
         lead(leader, version);
         return runUntilActive(leader, version, maxSteps);
@@ -168,7 +175,7 @@
         return stage != null && !stage.isJoint() && stage.newVersion() == version;
     }
 
-    /** The stage that a subscriber decides by; null without a valid lease. */
+    /** Returns the stage that a subscriber decides by; null without a valid lease. */
     Stage leasedStage(int subscriber) {
         return subscribers.get(subscriber).leasedStage(nowSteps);
     }
--- a/src/test/java/loadbalancer/consensus/ManualNetwork.java
+++ b/src/test/java/loadbalancer/consensus/ManualNetwork.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Three members whose messages a test delivers one by one. The clock stands still. */
+/** Three members whose messages a test selects for delivery. The clock does not advance. */
 final class ManualNetwork {
     static final int MEMBERS = 3;
     static final long LEASE_MICROS = 4;
@@ -16,7 +16,7 @@
     private final Participant[] members = new Participant[MEMBERS];
     private int processes;
 
-    /** All members have started together and know the initial stage. */
+    /** Creates members that have started together and know the initial stage. */
     ManualNetwork(SafetyRules rules) {
         this.rules = rules;
         for (int member = 0; member < MEMBERS; member++) {
@@ -34,7 +34,7 @@
         return members[member];
     }
 
-    /** Replaces a member's process by one without memory. */
+    /** Replaces a member's process by one without state. */
     void restart(int member) {
         GroupConfig group = new GroupConfig(MEMBERS, MEMBERS, LEASE_MICROS, LEASE_MICROS);
         members[member] = new Participant(group, rules, member, ++processes, 0);
@@ -48,7 +48,7 @@
         return (to, message) -> inTransit.add(new Envelope(from, to, message));
     }
 
-    /** Delivers the selected messages and those that follow from them; the others stay in transit. */
+    /** Delivers the selected messages and those that are sent in response; the others stay in transit. */
     void deliver(Predicate<Envelope> selected) {
         int next = 0;
         while (next < inTransit.size()) {
--- a/src/test/java/loadbalancer/consensus/MessageCodecTest.java
+++ b/src/test/java/loadbalancer/consensus/MessageCodecTest.java
@@ -16,7 +16,7 @@
 
     private final MessageCodec codec = new MessageCodec(REGISTER_ID, VOTERS);
 
-    /** One message of each kind. */
+    /** Returns one message of each kind. */
     private static List<Message> messages() {
         List<Incarnation> incarnations = IntStream.range(0, VOTERS)
                 .mapToObj(voter -> new Incarnation(voter, -voter * 7))
@@ -35,7 +35,7 @@
                 new Message.LeaseReply(1, 2, 3, stage, false),
                 new Message.RecoveryRequest(5),
                 new Message.KnownIncarnation(5, 6),
-                new Message.NoMemory(5, 6),
+                new Message.NoState(5, 6),
                 new Message.Rejoin(new Incarnation(3, 4)),
                 new Message.VoterState(1, new Incarnation(3, 4), incarnations, 5, 6, stage, true),
                 new Message.Bootstrap(nonces),
@@ -52,12 +52,12 @@
                 new Message.StageChanged(1, 2));
     }
 
-    private void assertNotDecoded(byte[] datagram, String what) {
-        assertEquals(Optional.empty(), codec.decode(datagram), what);
+    private void assertNotDecoded(byte[] datagram, String description) {
+        assertEquals(Optional.empty(), codec.decode(datagram), description);
     }
 
     @Test
-    void everyKindOfMessageFitsADatagramAndIsDecodedAsItWasEncoded() {
+    void messageOfEveryKindFitsADatagramAndIsDecodedUnchanged() {
         for (Message message : messages()) {
             // when
             byte[] datagram = codec.encode(message);
@@ -89,8 +89,8 @@
                 byte[] corrupted = datagram.clone();
                 corrupted[index] ^= (byte) (1 + random.nextInt(255));
                 // then
-                assertNotDecoded(Arrays.copyOf(datagram, index), message + " cut at " + index);
-                assertNotDecoded(corrupted, message + " changed at " + index);
+                assertNotDecoded(Arrays.copyOf(datagram, index), message + " truncated at " + index);
+                assertNotDecoded(corrupted, message + " corrupted at " + index);
             }
             assertNotDecoded(Arrays.copyOf(datagram, datagram.length + 1), message + " lengthened");
         }
--- a/src/test/java/loadbalancer/consensus/ParticipantTest.java
+++ b/src/test/java/loadbalancer/consensus/ParticipantTest.java
@@ -22,10 +22,10 @@
     }
 
     /**
-     * The last stage that leader 0 holds for chosen. Member 2 has accepted stage 1, lost its memory and recovered before any other member
-     * accepted, and its answer of before arrives afterwards.
+     * Returns the last stage that leader 0 considers chosen. Member 2 has accepted stage 1, lost its state and
+     * recovered before any other member accepted, and its answer from before the restart arrives afterwards.
      */
-    private static Stage lastChosenAfterALateAnswer(ManualNetwork network) {
+    private static Stage lastChosenAfterLateAnswer(ManualNetwork network) {
         network.lead(0, 1, false);
         network.deliver(envelope -> !isAcceptOfStage(envelope, 1));
         network.deliver(envelope -> envelope.to() == 2 && isAccept(envelope) || isAcceptedToLeader(envelope));
@@ -36,7 +36,9 @@
         }
         assertTrue(network.member(2).voter().isActive());
         assertEquals(
-                0, network.member(2).voter().acceptedStage().index(), "the stage that it had accepted is forgotten");
+                0,
+                network.member(2).voter().acceptedStage().index(),
+                "the restarted voter has lost its accepted stage");
         network.deliver(envelope -> envelope.to() == 0 && isAccept(envelope) || isAcceptedToLeader(envelope));
         return network.member(0).leader().lastChosen();
     }
@@ -46,23 +48,23 @@
         // given
         ManualNetwork network = new ManualNetwork(SafetyRules.ALL);
         // when
-        Stage lastChosen = lastChosenAfterALateAnswer(network);
+        Stage lastChosen = lastChosenAfterLateAnswer(network);
         // then
         assertEquals(0, lastChosen.index());
     }
 
     @Test
-    void answerOfAnEarlierIncarnationWouldCountWithoutTheRule() {
+    void answerOfAnEarlierIncarnationCountsWithoutTheIncarnationsRule() {
         // given
         ManualNetwork network = new ManualNetwork(SafetyRules.without(SafetyRule.INCARNATIONS));
         // when
-        Stage lastChosen = lastChosenAfterALateAnswer(network);
+        Stage lastChosen = lastChosenAfterLateAnswer(network);
         // then
         assertEquals(1, lastChosen.index());
     }
 
     @Test
-    void memberWithoutMemoryNeitherLeadsNorVotesNorDecides() {
+    void restartedVoterNeitherLeadsNorVotesNorDecides() {
         // given
         ManualNetwork network = new ManualNetwork(SafetyRules.ALL);
         network.restart(1);
--- a/src/test/java/loadbalancer/consensus/RandomExplorerRun.java
+++ b/src/test/java/loadbalancer/consensus/RandomExplorerRun.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
-/** Applies random events to scenes of the explorer and sums up what the scene holds after each of them. */
+/** Applies random events to states of the explorer and sums up what a state holds after each of them. */
 final class RandomExplorerRun {
-    /** With more in transit only messages are drawn, so that stages are chosen. */
+    /** With more messages in transit, only events on messages are drawn, so that stages are chosen. */
     private static final int MAX_IN_TRANSIT = 12;
 
     private final GroupConfig group;
@@ -28,12 +28,12 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Each scene ends at its first violation. */
-    void run(int runs, int eventsEach) {
-        for (int count = 0; count < runs; count++) {
+    /** Runs several schedules, each of which ends at its first violation. */
+    void run(int schedules, int eventsPerSchedule) {
+        for (int count = 0; count < schedules; count++) {
             ExplorerState state = new ExplorerState(group, subscribers, rules);
             startGroup(state);
-            for (int event = 0; event < eventsEach && state.violation == null; event++) {
+            for (int event = 0; event < eventsPerSchedule && state.violation == null; event++) {
                 state.apply(drawEvent(state));
                 events++;
                 messagesInTransit += state.inTransit.size();
@@ -78,7 +78,7 @@
         return ExplorerEvent.of(roll < 15 ? Kind.STEP : Kind.RENEW, member);
     }
 
-    /** Three of four messages in their order, else any; few of them dropped or duplicated. */
+    /** Draws three of four messages in order, the others at random; few messages are dropped or duplicated. */
     private ExplorerEvent drawMessage(ExplorerState state) {
         boolean inOrder = random.nextInt(4) > 0;
         Envelope envelope = state.inTransit.get(inOrder ? 0 : random.nextInt(state.inTransit.size()));
@@ -87,7 +87,10 @@
         return ExplorerEvent.on(kind, envelope);
     }
 
-    /** Weighted by the process and the event, so that the same stages at other processes or events have another sum. */
+    /**
+     * Adds the stages of all processes, weighted by the process and the event, so that the same stages at other
+     * processes or events give another sum.
+     */
     private void addStages(ExplorerState state) {
         for (int process = 0; process < group.members() + subscribers; process++) {
             Stage stage = process < group.members()
@@ -101,7 +104,8 @@
     }
 
     String counts() {
-        return "events " + events + "; messages " + messagesInTransit + "; decisions " + chosenStages + "; stages "
-                + stageSum + "; incarnations " + incarnations + "; clock " + ticks + "; violations " + violations;
+        return "events " + events + "; messages " + messagesInTransit + "; chosen stages " + chosenStages
+                + "; stage sum " + stageSum + "; incarnations " + incarnations + "; ticks " + ticks + "; violations "
+                + violations;
     }
 }
--- a/src/test/java/loadbalancer/consensus/StoredConsensusMessagesTest.java
+++ b/src/test/java/loadbalancer/consensus/StoredConsensusMessagesTest.java
@@ -16,14 +16,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Each message of the consensus protocol, between members and to subscribers, as bytes. */
+/**
+ * Checks the encoding of each message of the consensus protocol, between members and to subscribers, against stored
+ * bytes.
+ */
 class StoredConsensusMessagesTest {
     private static final int REGISTER_ID = 0x5eed_0042;
     private static final int VOTERS = 3;
 
     private final MessageCodec codec = new MessageCodec(REGISTER_ID, VOTERS);
 
-    /** By the name of its sample. */
+    /** Returns one message of each kind, by the name of its stored sample. */
     private static Map<String, Message> messages() {
         List<Incarnation> incarnations =
                 List.of(new Incarnation(1, 0x1111_1111), new Incarnation(2, -2), Incarnation.UNKNOWN);
@@ -42,7 +45,7 @@
         all.put("lease-reply", new Message.LeaseReply(0x1234_5678_9abcL, -3, 256, settled, false));
         all.put("recovery-request", new Message.RecoveryRequest(99));
         all.put("known-incarnation", new Message.KnownIncarnation(99, 2));
-        all.put("no-memory", new Message.NoMemory(99, -100));
+        all.put("no-memory", new Message.NoState(99, -100));
         all.put("rejoin", new Message.Rejoin(new Incarnation(3, 77)));
         all.put(
                 "voter-state",
@@ -78,7 +81,7 @@
         return tests;
     }
 
-    /** A kind of message that is added has to have its sample. */
+    /** Fails if a kind of message has no stored sample. */
     @Test
     void everyKindOfMessageHasASample() {
         Set<Class<?>> kinds = messages().values().stream().map(Object::getClass).collect(Collectors.toSet());
--- a/src/test/java/loadbalancer/consensus/SubscriberLeaseTest.java
+++ b/src/test/java/loadbalancer/consensus/SubscriberLeaseTest.java
@@ -1,10 +1,10 @@
 package loadbalancer.consensus;
 
-import static loadbalancer.consensus.LeasedGroup.LEASE_STEPS;
-import static loadbalancer.consensus.LeasedGroup.SUBSCRIBER_A;
-import static loadbalancer.consensus.LeasedGroup.SUBSCRIBER_B;
-import static loadbalancer.consensus.LeasedGroup.SUBSCRIBER_LEASE_STEPS;
-import static loadbalancer.consensus.LeasedGroup.VALIDATION_TIMEOUT_STEPS;
+import static loadbalancer.consensus.GroupWithSubscribers.LEASE_STEPS;
+import static loadbalancer.consensus.GroupWithSubscribers.SUBSCRIBER_A;
+import static loadbalancer.consensus.GroupWithSubscribers.SUBSCRIBER_B;
+import static loadbalancer.consensus.GroupWithSubscribers.SUBSCRIBER_LEASE_STEPS;
+import static loadbalancer.consensus.GroupWithSubscribers.VALIDATION_TIMEOUT_STEPS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -14,10 +14,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Leases that members grant to subscribers, in schedules that random ones hardly meet. */
+/** Tests the leases that members grant to subscribers, in schedules that random walks rarely reach. */
 class SubscriberLeaseTest {
-    private static LeasedGroup groupWithLease(SafetyRules rules, int subscriber, int member) {
-        LeasedGroup group = new LeasedGroup(rules);
+    private static GroupWithSubscribers groupWithLease(SafetyRules rules, int subscriber, int member) {
+        GroupWithSubscribers group = new GroupWithSubscribers(rules);
         group.requestLease(subscriber, member);
         group.deliverAll();
         return group;
@@ -30,7 +30,7 @@
     @Test
     void subscriberAdoptsAChangeAtOnceAndDoesNotDelayIt() {
         // given
-        LeasedGroup group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
+        GroupWithSubscribers group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
         assertEquals(1, group.leasedStage(SUBSCRIBER_A).newVersion());
         // when
         long steps = group.change(0, 2, LEASE_STEPS);
@@ -40,9 +40,9 @@
     }
 
     @Test
-    void lostSubscriberDelaysOneChangeByItsOwnLeaseAndTheNextNotAtAll() {
+    void unreachableSubscriberDelaysOnlyOneChangeByItsLease() {
         // given
-        LeasedGroup group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
+        GroupWithSubscribers group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
         group.drop(envelope -> envelope.to() == SUBSCRIBER_A || envelope.from() == SUBSCRIBER_A);
         // when
         long firstSteps = group.change(0, 2, 2 * LEASE_STEPS);
@@ -54,7 +54,7 @@
         // when
         long secondSteps = group.change(0, 3, LEASE_STEPS);
         // then
-        assertTrue(secondSteps <= 2, "nobody waits for it again");
+        assertTrue(secondSteps <= 2, "the second change does not wait for the unreachable subscriber");
         // when
         group.drop(envelope -> false);
         group.requestLease(SUBSCRIBER_A, 2);
@@ -63,9 +63,12 @@
         assertEquals(3, group.leasedStage(SUBSCRIBER_A).newVersion());
     }
 
-    /** The version that a subscriber decides by whose member was isolated during a change and granted a lease shortly before its own expired. */
-    private static long versionAtAnIsolatedMember(SafetyRules rules) {
-        LeasedGroup group = new LeasedGroup(rules);
+    /**
+     * Returns the version that a subscriber decides by if its member was isolated during a change and granted the lease
+     * shortly before its own lease expired.
+     */
+    private static long versionLeasedFromIsolatedMember(SafetyRules rules) {
+        GroupWithSubscribers group = new GroupWithSubscribers(rules);
         group.isolate(2);
         group.lead(0, 2);
         group.runUntilActive(0, 2, LEASE_STEPS - 1);
@@ -78,18 +81,21 @@
     }
 
     @Test
-    void leaseExpiresNoLaterThanTheOneThatItIsNestedIn() {
-        assertEquals(Stage.NO_VERSION, versionAtAnIsolatedMember(SafetyRules.ALL));
+    void subscriberLeaseExpiresNoLaterThanTheMembersLease() {
+        assertEquals(Stage.NO_VERSION, versionLeasedFromIsolatedMember(SafetyRules.ALL));
     }
 
     @Test
-    void twoVersionsWouldBeActiveWithoutNestedLeases() {
-        assertEquals(1, versionAtAnIsolatedMember(SafetyRules.without(SafetyRule.NESTED_LEASE)));
+    void twoVersionsAreActiveWithoutNestedLeases() {
+        assertEquals(1, versionLeasedFromIsolatedMember(SafetyRules.without(SafetyRule.NESTED_LEASE)));
     }
 
-    /** The version that a subscriber decides by whose member has restarted, and so forgotten the lease that it granted. */
-    private static long versionBehindARestartedMember(SafetyRules rules) {
-        LeasedGroup group = groupWithLease(rules, SUBSCRIBER_B, 2);
+    /**
+     * Returns the version that a subscriber decides by if its member has restarted and so forgotten the lease that it
+     * granted.
+     */
+    private static long versionLeasedFromRestartedMember(SafetyRules rules) {
+        GroupWithSubscribers group = groupWithLease(rules, SUBSCRIBER_B, 2);
         group.drop(envelope -> envelope.from() == SUBSCRIBER_B || envelope.to() == SUBSCRIBER_B);
         group.restart(2);
         group.change(0, 2, 3);
@@ -98,20 +104,23 @@
     }
 
     @Test
-    void restartedMemberWaitsForLeasesThatItMayHaveGranted() {
-        assertEquals(1, versionBehindARestartedMember(SafetyRules.ALL), "and nothing else is active meanwhile");
+    void restartedMemberWaitsForLeasesOfItsEarlierProcess() {
+        assertEquals(
+                1,
+                versionLeasedFromRestartedMember(SafetyRules.ALL),
+                "the subscriber still decides by the earlier version");
     }
 
     @Test
-    void twoVersionsWouldBeActiveWithoutTheWait() {
-        assertEquals(1, versionBehindARestartedMember(SafetyRules.without(SafetyRule.QUIET_START)));
+    void twoVersionsAreActiveWithoutQuietStart() {
+        assertEquals(1, versionLeasedFromRestartedMember(SafetyRules.without(SafetyRule.QUIET_START)));
     }
 
-    /** Its time would be counted from the later request. */
+    /** If the lease were accepted, its time would be counted from the later request. */
     @Test
     void leaseGrantedOnAnEarlierRequestIsIgnored() {
         // given
-        LeasedGroup group = new LeasedGroup(SafetyRules.ALL);
+        GroupWithSubscribers group = new GroupWithSubscribers(SafetyRules.ALL);
         group.requestLease(SUBSCRIBER_A, 1);
         group.deliver(group.takeOldest());
         Envelope late = group.takeOldest();
@@ -124,9 +133,9 @@
     }
 
     @Test
-    void subscriberThatMigratesToAMemberThatKnowsLessDoesNotGoBack() {
+    void subscriberThatAsksAMemberWithAnEarlierStageKeepsItsStage() {
         // given
-        LeasedGroup group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
+        GroupWithSubscribers group = groupWithLease(SafetyRules.ALL, SUBSCRIBER_A, 1);
         group.isolate(2);
         group.lead(0, 2);
         group.runUntilActive(0, 2, VALIDATION_TIMEOUT_STEPS + 1);
@@ -134,7 +143,7 @@
         assertTrue(joint.isJoint());
         long isolatedVersion =
                 group.member(2).leaseHolder().leasedStage(group.nowSteps()).newVersion();
-        assertEquals(1, isolatedVersion, "its lease on the previous stage is still valid");
+        assertEquals(1, isolatedVersion, "the isolated member's lease on the previous stage is still valid");
         // when
         group.requestLease(SUBSCRIBER_A, 2);
         group.deliverAll();
@@ -143,9 +152,9 @@
     }
 
     @Test
-    void versionThatOneSubscriberRejectsIsWithdrawnWithItsReason() {
+    void versionRejectedByOneSubscriberIsNotActivatedAndTheReasonIsReported() {
         // given
-        LeasedGroup group = new LeasedGroup(SafetyRules.ALL);
+        GroupWithSubscribers group = new GroupWithSubscribers(SafetyRules.ALL);
         group.requestLease(SUBSCRIBER_A, 1);
         group.requestLease(SUBSCRIBER_B, 2);
         group.deliverAll();
@@ -170,9 +179,9 @@
     }
 
     @Test
-    void memberGrantsNoMoreLeasesThanItsBound() {
+    void memberGrantsAtMostMaxLeases() {
         // given
-        LeasedGroup group = new LeasedGroup(SafetyRules.ALL);
+        GroupWithSubscribers group = new GroupWithSubscribers(SafetyRules.ALL);
         // when
         for (int index = 0; index < LeaseGrantor.MAX_LEASES + 1; index++) {
             int number = 1_000 + index;
--- a/src/test/java/loadbalancer/consensus/audit/PolicyHistoryTest.java
+++ b/src/test/java/loadbalancer/consensus/audit/PolicyHistoryTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void changeThatAllSidecarsMakeViolatesNothing() {
+    void changeThatAllSidecarsAdoptIsNoViolation() {
         // when
         adoptJointAndSettled("s0", 1_000);
         adoptJointAndSettled("s1", 1_090);
@@ -71,7 +71,7 @@
         assertTrue(lastLine.endsWith("not at [s0]"), lastLine);
     }
 
-    /** Its process was paused when the lease expired, and logs it when it goes on. */
+    /** The process was paused when its lease expired, and logs the expiry when it resumes. */
     @Test
     void leaseOfAPausedProcessEndsWhenItExpired() throws ConfigurationException {
         // when
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void malformedLineIsNamed() {
+    void errorForAMalformedLineNamesTheLine() {
         // given
         List<String> lines =
                 List.of("text", "{\"atMs\":1,\"event\":\"ready\"}", "{\"atMs\":1,\"event\":\"policy.joint\"}");
