--- a/src/main/java/loadbalancer/consensus/Leader.java
+++ b/src/main/java/loadbalancer/consensus/Leader.java
@@ -24,7 +24,7 @@
     private final long ballot;
     private final int proposer;
     /**
-     * The stage that this voter knew to be chosen when it started to lead, possibly long before; null if it knew none.
+     * The stage that this voter knew to be chosen, possibly for long, when it started to lead; null if it knew none.
      */
     private final Stage initiallyChosenStage;
 
--- a/src/main/java/loadbalancer/consensus/RandomSchedule.java
+++ b/src/main/java/loadbalancer/consensus/RandomSchedule.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
-/** Draws the events of one random walk. Each walk has its own fault rates, paused member and isolated member. */
+/** Draws the events of one random walk. Each walk has its own fault rates, paused process and isolated member. */
 final class RandomSchedule {
     /** Rates are per thousand events. */
     private static final int ROLL_RANGE = 1_000;
@@ -27,8 +27,11 @@
     private final int tickRate;
     /** How many of ten deliveries take a random message instead of the oldest one. */
     private final int reorderedPerTen;
-    /** The member that is paused for a while; a number above the members' pauses none. */
-    private final int pausedMember;
+    /**
+     * The process that is paused for a while: a member takes no steps and receives nothing, a subscriber receives
+     * nothing. A number that no process has pauses none.
+     */
+    private final int pausedProcess;
 
     private final int pauseStart;
     private final int pauseEnd;
@@ -53,7 +56,7 @@
         dropRate = random.nextInt(120);
         tickRate = 5 + random.nextInt(60);
         reorderedPerTen = random.nextInt(10);
-        pausedMember = random.nextInt(2 * group.members());
+        pausedProcess = random.nextInt(2 * group.members());
         pauseStart = random.nextInt(events);
         pauseEnd = pauseStart + random.nextInt(events);
         isolatedMember = subscribers > 0 ? random.nextInt(2 * group.members()) : -1;
@@ -146,7 +149,7 @@
     }
 
     private boolean isPaused(int process, int step) {
-        return process == pausedMember && step >= pauseStart && step < pauseEnd;
+        return process == pausedProcess && step >= pauseStart && step < pauseEnd;
     }
 
     private boolean isBlockedByIsolation(Envelope envelope, int step) {
