--- a/src/test/java/loadbalancer/consensus/ParticipantTest.java
+++ b/src/test/java/loadbalancer/consensus/ParticipantTest.java
@@ -22,10 +22,10 @@
     }
 
     /**
-     * The last stage that leader 0 holds for chosen. Member 2 has accepted stage 1, lost its memory and recovered before any other member
-     * accepted, and its answer of before arrives afterwards.
+     * Returns the last stage that leader 0 considers chosen. Member 2 has accepted stage 1, lost its state and
+     * recovered before any other member accepted, and its answer from before the restart arrives afterwards.
      */
-    private static Stage lastChosenAfterALateAnswer(ManualNetwork network) {
+    private static Stage lastChosenAfterLateAnswer(ManualNetwork network) {
         network.lead(0, 1, false);
         network.deliver(envelope -> !isAcceptOfStage(envelope, 1));
         network.deliver(envelope -> envelope.to() == 2 && isAccept(envelope) || isAcceptedToLeader(envelope));
@@ -34,9 +34,11 @@
             network.member(2).voter().recover(0, network.outboxOf(2));
             network.deliver(envelope -> !isAccept(envelope));
         }
-        assertTrue(network.member(2).voter().active());
+        assertTrue(network.member(2).voter().isActive());
         assertEquals(
-                0, network.member(2).voter().acceptedStage().index(), "the stage that it had accepted is forgotten");
+                0,
+                network.member(2).voter().acceptedStage().index(),
+                "the restarted voter has lost its accepted stage");
         network.deliver(envelope -> envelope.to() == 0 && isAccept(envelope) || isAcceptedToLeader(envelope));
         return network.member(0).leader().lastChosen();
     }
@@ -46,23 +48,23 @@
         // given
         ManualNetwork network = new ManualNetwork(SafetyRules.ALL);
         // when
-        Stage lastChosen = lastChosenAfterALateAnswer(network);
+        Stage lastChosen = lastChosenAfterLateAnswer(network);
         // then
         assertEquals(0, lastChosen.index());
     }
 
     @Test
-    void answerOfAnEarlierIncarnationWouldCountWithoutTheRule() {
+    void answerOfAnEarlierIncarnationCountsWithoutTheIncarnationsRule() {
         // given
         ManualNetwork network = new ManualNetwork(SafetyRules.without(SafetyRule.INCARNATIONS));
         // when
-        Stage lastChosen = lastChosenAfterALateAnswer(network);
+        Stage lastChosen = lastChosenAfterLateAnswer(network);
         // then
         assertEquals(1, lastChosen.index());
     }
 
     @Test
-    void memberWithoutMemoryNeitherLeadsNorVotesNorDecides() {
+    void restartedVoterNeitherLeadsNorVotesNorDecides() {
         // given
         ManualNetwork network = new ManualNetwork(SafetyRules.ALL);
         network.restart(1);
@@ -74,7 +76,7 @@
         // then
         assertFalse(leads);
         assertTrue(network.isIdle());
-        assertNull(restarted.leaseHolder().stage(0));
+        assertNull(restarted.leaseHolder().leasedStage(0));
     }
 
     @Test
@@ -82,8 +84,8 @@
         // given
         LeaseHolder holder = new ManualNetwork(SafetyRules.ALL).member(2).leaseHolder();
         // then
-        assertEquals(Stage.INITIAL, holder.stage(ManualNetwork.LEASE - 1));
-        assertNull(holder.stage(ManualNetwork.LEASE));
+        assertEquals(Stage.INITIAL, holder.leasedStage(ManualNetwork.LEASE_MICROS - 1));
+        assertNull(holder.leasedStage(ManualNetwork.LEASE_MICROS));
         assertEquals(Stage.INITIAL, holder.lastStage());
     }
 
@@ -101,7 +103,7 @@
         // then
         for (int member = 0; member < ManualNetwork.MEMBERS; member++) {
             assertEquals(
-                    new Stage(2, 0, 0), network.member(member).leaseHolder().stage(0));
+                    new Stage(2, 0, 0), network.member(member).leaseHolder().leasedStage(0));
         }
     }
 }
--- a/src/test/java/loadbalancer/consensus/audit/PolicyHistoryTest.java
+++ b/src/test/java/loadbalancer/consensus/audit/PolicyHistoryTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void changeThatAllSidecarsMakeViolatesNothing() {
+    void changeThatAllSidecarsAdoptIsNoViolation() {
         // when
         adoptJointAndSettled("s0", 1_000);
         adoptJointAndSettled("s1", 1_090);
@@ -55,7 +55,7 @@
         adoptJointAndSettled("s1", 1_000);
         history.recordAlive("s1", 1_400);
         // then
-        assertOneViolation("ONE_POLICY: s1 was sure of stage 2 and s0 of stage 0");
+        assertOneViolation("ONE_POLICY: s1 had a lease on stage 2 and s0 on stage 0");
     }
 
     @Test
@@ -71,7 +71,7 @@
         assertTrue(lastLine.endsWith("not at [s0]"), lastLine);
     }
 
-    /** Its process was paused when the lease expired, and logs it when it goes on. */
+    /** The process was paused when its lease expired, and logs the expiry when it resumes. */
     @Test
     void leaseOfAPausedProcessEndsWhenItExpired() throws ConfigurationException {
         // when
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void malformedLineIsNamed() {
+    void errorForAMalformedLineNamesTheLine() {
         // given
         List<String> lines =
                 List.of("text", "{\"atMs\":1,\"event\":\"ready\"}", "{\"atMs\":1,\"event\":\"policy.joint\"}");
