--- a/src/main/java/loadbalancer/benchmark/ControlBenchmark.java
+++ b/src/main/java/loadbalancer/benchmark/ControlBenchmark.java
@@ -92,15 +92,17 @@
         ResourceUsage replicasBefore = run.voterUsage();
         ResourceUsage sidecarsBefore = run.sidecarUsage();
         Thread.sleep(quick ? 1_000 : 6_000);
-        ScaleRun.Window replicas = new ScaleRun.Window(VOTERS, run.voterUsage().since(replicasBefore));
-        ScaleRun.Window sidecars = new ScaleRun.Window(size, run.sidecarUsage().since(sidecarsBefore));
-        put(ScaleMetric.REPLICA_DATAGRAMS, size, replicas.datagrams());
-        put(ScaleMetric.REPLICA_BYTES, size, replicas.bytes());
-        put(ScaleMetric.REPLICA_CORES, size, replicas.cores());
-        put(ScaleMetric.SUBSCRIBER_DATAGRAMS, size, sidecars.datagrams());
-        put(ScaleMetric.SUBSCRIBER_BYTES, size, sidecars.bytes());
-        put(ScaleMetric.SUBSCRIBER_CORES, size, sidecars.cores());
-        put(ScaleMetric.SUBSCRIBER_HEAP, size, (double) run.sidecarHeapKb() / size);
+        ScaleRun.RoleUsage replicas =
+                new ScaleRun.RoleUsage(VOTERS, run.voterUsage().since(replicasBefore));
+        ScaleRun.RoleUsage sidecars =
+                new ScaleRun.RoleUsage(size, run.sidecarUsage().since(sidecarsBefore));
+        put(ScaleMetric.REPLICA_DATAGRAMS, size, replicas.datagramsPerSecond());
+        put(ScaleMetric.REPLICA_BYTES, size, replicas.bytesPerSecond());
+        put(ScaleMetric.REPLICA_CORES, size, replicas.coresPerMember());
+        put(ScaleMetric.SUBSCRIBER_DATAGRAMS, size, sidecars.datagramsPerSecond());
+        put(ScaleMetric.SUBSCRIBER_BYTES, size, sidecars.bytesPerSecond());
+        put(ScaleMetric.SUBSCRIBER_CORES, size, sidecars.coresPerMember());
+        put(ScaleMetric.SUBSCRIBER_HEAP, size, (double) run.sidecarHeapKilobytes() / size);
     }
 
     private void changes(ControlRun run, int size) throws IOException, InterruptedException {
@@ -122,7 +124,7 @@
         double tookMs = change(run, size, "a replica with a vote killed just before", 1, 0);
         Shortfalls.check(
                 shortfalls,
-                tookMs <= CapacityTarget.CHANGE_MS,
+                tookMs <= CapacityTarget.MAX_CHANGE_MILLIS,
                 "a change with a replica killed takes " + tookMs + " ms");
     }
 
@@ -135,37 +137,44 @@
                 size,
                 scope,
                 what,
-                change.reached(),
-                change.wanted(),
-                change.tookUs() / 1_000);
-        return change.everywhere() ? change.tookUs() / 1e3 : MOST_CHANGE_US / 1e3;
+                change.adoptedMembers(),
+                change.expectedMembers(),
+                change.elapsedMicros() / 1_000);
+        return change.isComplete() ? change.elapsedMicros() / 1e3 : MOST_CHANGE_US / 1e3;
     }
 
     private void report(Path record) throws IOException {
         Map<ScaleMetric, RecordedSlope> slopes =
                 samples.slopes(LocalDate.now(ZoneOffset.UTC).toString());
-        slopes.values().forEach(slope -> System.out.println(slope.line()));
+        slopes.values().forEach(slope -> System.out.println(slope.csvLine()));
         if (record != null) {
             Map<ScaleMetric, RecordedSlope> all = RecordedSlope.read(Files.readAllLines(record));
             all.putAll(slopes);
             List<String> lines = new ArrayList<>(List.of(RecordedSlope.HEADER));
-            all.values().forEach(slope -> lines.add(slope.line()));
+            all.values().forEach(slope -> lines.add(slope.csvLine()));
             Files.write(record, lines);
         }
-        aim(slopes, ScaleMetric.SUBSCRIBER_CORES, CapacityTarget.CONTROL_CORES);
-        aim(slopes, ScaleMetric.REPLICA_CORES, CapacityTarget.REPLICA_CORES);
-        aim(slopes, ScaleMetric.SUBSCRIBER_HEAP, CapacityTarget.CONTROL_KB);
-        aim(slopes, ScaleMetric.CONTROL_START, CapacityTarget.START_MS);
+        aim(slopes, ScaleMetric.SUBSCRIBER_CORES, CapacityTarget.MAX_CONTROL_CORES);
+        aim(slopes, ScaleMetric.REPLICA_CORES, CapacityTarget.MAX_REPLICA_CORES);
+        aim(slopes, ScaleMetric.SUBSCRIBER_HEAP, CapacityTarget.MAX_CONTROL_KILOBYTES);
+        aim(slopes, ScaleMetric.CONTROL_START, CapacityTarget.MAX_START_MILLIS);
         aim(slopes, ScaleMetric.CONTROL_CHANGE, CHANGE_AIM_MS);
-        aim(slopes, ScaleMetric.CONTROL_CHANGE_ONE_AWAY, CapacityTarget.CHANGE_MS);
-        aim(slopes, ScaleMetric.CONTROL_SECOND_CHANGE, CapacityTarget.CHANGE_MS);
+        aim(slopes, ScaleMetric.CONTROL_CHANGE_ONE_AWAY, CapacityTarget.MAX_CHANGE_MILLIS);
+        aim(slopes, ScaleMetric.CONTROL_SECOND_CHANGE, CapacityTarget.MAX_CHANGE_MILLIS);
         withHeaders(
-                slopes, ScaleMetric.SUBSCRIBER_BYTES, ScaleMetric.SUBSCRIBER_DATAGRAMS, CapacityTarget.CONTROL_BYTES);
-        withHeaders(slopes, ScaleMetric.REPLICA_BYTES, ScaleMetric.REPLICA_DATAGRAMS, CapacityTarget.REPLICA_BYTES);
+                slopes,
+                ScaleMetric.SUBSCRIBER_BYTES,
+                ScaleMetric.SUBSCRIBER_DATAGRAMS,
+                CapacityTarget.MAX_CONTROL_BYTES_PER_SECOND);
+        withHeaders(
+                slopes,
+                ScaleMetric.REPLICA_BYTES,
+                ScaleMetric.REPLICA_DATAGRAMS,
+                CapacityTarget.MAX_REPLICA_BYTES_PER_SECOND);
     }
 
     private void aim(Map<ScaleMetric, RecordedSlope> slopes, ScaleMetric figure, double most) {
-        double value = slopes.get(figure).fit().at(CapacityTarget.SIDECARS);
+        double value = slopes.get(figure).fit().valueAt(CapacityTarget.SIDECARS);
         Shortfalls.check(
                 shortfalls,
                 value <= most,
@@ -178,8 +187,9 @@
 
     private void withHeaders(
             Map<ScaleMetric, RecordedSlope> slopes, ScaleMetric bytes, ScaleMetric datagrams, double most) {
-        double value = slopes.get(bytes).fit().at(CapacityTarget.SIDECARS)
-                + CapacityTarget.HEADER_BYTES * slopes.get(datagrams).fit().at(CapacityTarget.SIDECARS);
+        double value = slopes.get(bytes).fit().valueAt(CapacityTarget.SIDECARS)
+                + CapacityTarget.DATAGRAM_HEADER_BYTES
+                        * slopes.get(datagrams).fit().valueAt(CapacityTarget.SIDECARS);
         Shortfalls.check(
                 shortfalls,
                 value <= most,
@@ -214,7 +224,7 @@
         Shortfalls.check(shortfalls, day.unfinished() == 0, day.unfinished() + " changes of a day not in force");
         Shortfalls.check(
                 shortfalls,
-                day.latencyQuantileMicros(0.99) <= CapacityTarget.CHANGE_MS * 1_000,
+                day.latencyQuantileMicros(0.99) <= CapacityTarget.MAX_CHANGE_MILLIS * 1_000,
                 "99 in 100 changes of a day take " + day.latencyQuantileMicros(0.99) / 1_000 + " ms");
     }
 
--- a/src/main/java/loadbalancer/benchmark/ScaleBenchmark.java
+++ b/src/main/java/loadbalancer/benchmark/ScaleBenchmark.java
@@ -95,10 +95,10 @@
     private void report(Path record) throws IOException {
         Map<ScaleMetric, RecordedSlope> slopes =
                 samples.slopes(LocalDate.now(ZoneOffset.UTC).toString());
-        slopes.values().forEach(slope -> System.out.println(slope.line()));
+        slopes.values().forEach(slope -> System.out.println(slope.csvLine()));
         if (record != null) {
             List<String> lines = new ArrayList<>(List.of(RecordedSlope.HEADER));
-            slopes.values().forEach(slope -> lines.add(slope.line()));
+            slopes.values().forEach(slope -> lines.add(slope.csvLine()));
             Files.write(record, lines);
             System.out.println("\n" + CapacityTable.markdown(slopes));
         }
@@ -122,18 +122,19 @@
 
     private void rest(ScaleRun run, int size) throws IOException, InterruptedException {
         ResourceUsage votersBefore = run.voterUsage();
-        ResourceUsage membersBefore = run.memberUsage();
+        ResourceUsage membersBefore = run.nonVoterUsage();
         Thread.sleep(quick ? 1_000 : 8_000);
-        ScaleRun.Window voters = new ScaleRun.Window(VOTERS, run.voterUsage().since(votersBefore));
-        ScaleRun.Window members =
-                new ScaleRun.Window(run.memberCount(), run.memberUsage().since(membersBefore));
-        put(ScaleMetric.VOTER_DATAGRAMS, size, voters.datagrams());
-        put(ScaleMetric.VOTER_BYTES, size, voters.bytes());
-        put(ScaleMetric.VOTER_CORES, size, voters.cores());
-        put(ScaleMetric.MEMBER_DATAGRAMS, size, members.datagrams());
-        put(ScaleMetric.MEMBER_BYTES, size, members.bytes());
-        put(ScaleMetric.MEMBER_CORES, size, members.cores());
-        put(ScaleMetric.MEMBER_HEAP, size, (double) run.memberHeapKb() / run.memberCount());
+        ScaleRun.RoleUsage voters =
+                new ScaleRun.RoleUsage(VOTERS, run.voterUsage().since(votersBefore));
+        ScaleRun.RoleUsage members =
+                new ScaleRun.RoleUsage(run.nonVoterCount(), run.nonVoterUsage().since(membersBefore));
+        put(ScaleMetric.VOTER_DATAGRAMS, size, voters.datagramsPerSecond());
+        put(ScaleMetric.VOTER_BYTES, size, voters.bytesPerSecond());
+        put(ScaleMetric.VOTER_CORES, size, voters.coresPerMember());
+        put(ScaleMetric.MEMBER_DATAGRAMS, size, members.datagramsPerSecond());
+        put(ScaleMetric.MEMBER_BYTES, size, members.bytesPerSecond());
+        put(ScaleMetric.MEMBER_CORES, size, members.coresPerMember());
+        put(ScaleMetric.MEMBER_HEAP, size, (double) run.nonVoterHeapKilobytes() / run.nonVoterCount());
     }
 
     private void changes(ScaleRun run, int size) throws IOException, InterruptedException {
@@ -149,26 +150,26 @@
 
     private void oneAway(ScaleRun run, int size) throws IOException, InterruptedException {
         int away = size - 1;
-        run.silence(away, true);
+        run.setSilent(away, true);
         put(ScaleMetric.CHANGE_ONE_AWAY, size, change(run, size, "one away", VOTERS, away, size));
         if (!quick) {
             change(run, size, "one away, the next change at once", VOTERS, away, size);
         }
-        run.silence(away, false);
+        run.setSilent(away, false);
     }
 
     /** At the largest size: what an ordinary day and a bad one bring. */
     private void faults(ScaleRun run, int size) throws IOException, InterruptedException {
-        run.lose(0.05);
+        run.setLossRate(0.05);
         change(run, size, "5 % of datagrams lost", VOTERS, size, size);
-        run.lose(0);
+        run.setLossRate(0);
         int cutFrom = size / 2;
-        run.cut(cutFrom, size);
+        run.partition(cutFrom, size);
         change(run, size, "the half without voters cut off", VOTERS, cutFrom, size);
-        int sure = run.sure();
+        int sure = run.readyMembers();
         long healed = System.nanoTime();
-        run.cut(0, 0);
-        while (run.sure() < size && System.nanoTime() - healed < MOST_CHANGE_US * 1_000) {
+        run.partition(0, 0);
+        while (run.readyMembers() < size && System.nanoTime() - healed < MOST_CHANGE_US * 1_000) {
             Thread.sleep(10);
         }
         System.out.printf(
@@ -176,7 +177,7 @@
                 "%5d  cut healed: %d sure during it, %d after %d ms%n",
                 size,
                 sure,
-                run.sure(),
+                run.readyMembers(),
                 (System.nanoTime() - healed) / 1_000_000);
         for (int member = VOTERS; member < VOTERS + size / 10; member++) {
             run.restart(member);
@@ -195,28 +196,28 @@
                 "%5d  change, %s: %d of %d after %d ms%n",
                 size,
                 what,
-                change.reached(),
-                change.wanted(),
-                change.tookUs() / 1_000);
-        return change.everywhere() ? change.tookUs() / 1e3 : MOST_CHANGE_US / 1e3;
+                change.adoptedMembers(),
+                change.expectedMembers(),
+                change.elapsedMicros() / 1_000);
+        return change.isComplete() ? change.elapsedMicros() / 1e3 : MOST_CHANGE_US / 1e3;
     }
 
     private void load(int size) throws IOException, InterruptedException {
         try (ScaleRun run = new ScaleRun(size, VOTERS, LEASE_US, SEED)) {
             run.start();
             Thread.sleep(quick ? 500 : 2_000);
-            ResourceUsage quiet = run.memberUsage();
+            ResourceUsage quiet = run.nonVoterUsage();
             Thread.sleep(quick ? 500 : 3_000);
-            ResourceUsage rest = run.memberUsage().since(quiet);
-            run.load(REQUESTS_A_SECOND);
+            ResourceUsage rest = run.nonVoterUsage().since(quiet);
+            run.startRequests(REQUESTS_A_SECOND);
             Thread.sleep(quick ? 500 : 2_000);
             long requestsBefore = run.requests();
-            ResourceUsage before = run.memberUsage();
+            ResourceUsage before = run.nonVoterUsage();
             Thread.sleep(quick ? 1_000 : 5_000);
-            ResourceUsage with = run.memberUsage().since(before);
-            double requests = (double) (run.requests() - requestsBefore) * run.memberCount() / size;
-            double messages = with.datagramsOut() - rest.perSecond(rest.datagramsOut()) * with.atUs() / 1e6;
-            double bytes = with.bytesOut() - rest.perSecond(rest.bytesOut()) * with.atUs() / 1e6;
+            ResourceUsage with = run.nonVoterUsage().since(before);
+            double requests = (double) (run.requests() - requestsBefore) * run.nonVoterCount() / size;
+            double messages = with.datagramsOut() - rest.perSecond(rest.datagramsOut()) * with.timeMicros() / 1e6;
+            double bytes = with.bytesOut() - rest.perSecond(rest.bytesOut()) * with.timeMicros() / 1e6;
             put(ScaleMetric.LOAD_MESSAGES, size, messages / requests);
             put(ScaleMetric.LOAD_BYTES, size, bytes / messages);
         }
--- a/src/main/java/loadbalancer/benchmark/SidecarFootprint.java
+++ b/src/main/java/loadbalancer/benchmark/SidecarFootprint.java
@@ -29,7 +29,7 @@
             long before = cpuMs(pid);
             Thread.sleep(windowMs);
             long used = cpuMs(pid) - before;
-            return new SidecarFootprint(ProcessMemory.residentKb(pid), (double) used / windowMs);
+            return new SidecarFootprint(ProcessMemory.residentKilobytes(pid), (double) used / windowMs);
         }
     }
 
--- a/src/main/java/loadbalancer/capacity/CapacityTable.java
+++ b/src/main/java/loadbalancer/capacity/CapacityTable.java
@@ -72,7 +72,7 @@
     }
 
     private double at(ScaleMetric figure) {
-        return slopes.get(figure).fit().at(CapacityTarget.SIDECARS);
+        return slopes.get(figure).fit().valueAt(CapacityTarget.SIDECARS);
     }
 
     private boolean has(ScaleMetric... figures) {
@@ -100,12 +100,13 @@
     private void voter(List<Row> rows) {
         String flat = "`consensus`, flat: a control tier in its place";
         if (has(ScaleMetric.VOTER_BYTES, ScaleMetric.VOTER_DATAGRAMS)) {
-            double bytes = at(ScaleMetric.VOTER_BYTES) + CapacityTarget.HEADER_BYTES * at(ScaleMetric.VOTER_DATAGRAMS);
+            double bytes = at(ScaleMetric.VOTER_BYTES)
+                    + CapacityTarget.DATAGRAM_HEADER_BYTES * at(ScaleMetric.VOTER_DATAGRAMS);
             rows.add(new Row(
                     "voter, itself a sidecar",
                     "bytes a second at rest, with headers",
                     bytes,
-                    CapacityTarget.CONTROL_BYTES,
+                    CapacityTarget.MAX_CONTROL_BYTES_PER_SECOND,
                     "B/s",
                     "voter-bytes + 28 voter-datagrams",
                     flat));
@@ -115,7 +116,7 @@
                     "voter, itself a sidecar",
                     "processor at rest",
                     at(ScaleMetric.VOTER_CORES),
-                    CapacityTarget.CONTROL_CORES,
+                    CapacityTarget.MAX_CONTROL_CORES,
                     "cores",
                     "voter-cores",
                     flat));
@@ -124,13 +125,13 @@
 
     private void member(List<Row> rows) {
         if (has(ScaleMetric.MEMBER_BYTES, ScaleMetric.MEMBER_DATAGRAMS)) {
-            double bytes =
-                    at(ScaleMetric.MEMBER_BYTES) + CapacityTarget.HEADER_BYTES * at(ScaleMetric.MEMBER_DATAGRAMS);
+            double bytes = at(ScaleMetric.MEMBER_BYTES)
+                    + CapacityTarget.DATAGRAM_HEADER_BYTES * at(ScaleMetric.MEMBER_DATAGRAMS);
             rows.add(new Row(
                     "sidecar, leases",
                     "bytes a second at rest, with headers",
                     bytes,
-                    CapacityTarget.CONTROL_BYTES,
+                    CapacityTarget.MAX_CONTROL_BYTES_PER_SECOND,
                     "B/s",
                     "member-bytes + 28 member-datagrams",
                     "`consensus`"));
@@ -140,7 +141,7 @@
                     "sidecar, leases",
                     "processor at rest",
                     at(ScaleMetric.MEMBER_CORES),
-                    CapacityTarget.CONTROL_CORES,
+                    CapacityTarget.MAX_CONTROL_CORES,
                     "cores",
                     "member-cores",
                     "`consensus`"));
@@ -150,7 +151,7 @@
                     "sidecar, leases",
                     "heap, its part of a host of 525",
                     at(ScaleMetric.MEMBER_HEAP),
-                    CapacityTarget.CONTROL_KB,
+                    CapacityTarget.MAX_CONTROL_KILOBYTES,
                     "KB",
                     "member-heap",
                     "`consensus`"));
@@ -163,7 +164,7 @@
                     "all sidecars",
                     "all start at once: the last is sure",
                     at(ScaleMetric.START),
-                    CapacityTarget.START_MS,
+                    CapacityTarget.MAX_START_MILLIS,
                     "ms",
                     "start",
                     "`consensus`"));
@@ -173,7 +174,7 @@
                     "all sidecars",
                     "a change, nobody away",
                     at(ScaleMetric.CHANGE),
-                    CapacityTarget.CHANGE_MS,
+                    CapacityTarget.MAX_CHANGE_MILLIS,
                     "ms",
                     "change",
                     "`consensus`"));
@@ -184,7 +185,7 @@
                     "all sidecars",
                     "a change, one sidecar away",
                     oneAway,
-                    CapacityTarget.CHANGE_MS,
+                    CapacityTarget.MAX_CHANGE_MILLIS,
                     "ms",
                     "change-one-away",
                     "`consensus`"));
@@ -192,7 +193,7 @@
                     "all sidecars",
                     "a second change right behind it",
                     2 * oneAway,
-                    CapacityTarget.CHANGE_MS,
+                    CapacityTarget.MAX_CHANGE_MILLIS,
                     "ms",
                     "2 change-one-away",
                     "`consensus`, flat: a control tier in its place"));
@@ -205,56 +206,56 @@
                 "control replica that votes",
                 ScaleMetric.REPLICA_BYTES,
                 ScaleMetric.REPLICA_DATAGRAMS,
-                CapacityTarget.REPLICA_BYTES);
-        plain(
+                CapacityTarget.MAX_REPLICA_BYTES_PER_SECOND);
+        addRow(
                 rows,
                 "control replica that votes",
                 "processor at rest",
                 ScaleMetric.REPLICA_CORES,
-                CapacityTarget.REPLICA_CORES,
+                CapacityTarget.MAX_REPLICA_CORES,
                 "cores");
         withHeaders(
                 rows,
                 "sidecar, four scopes",
                 ScaleMetric.SUBSCRIBER_BYTES,
                 ScaleMetric.SUBSCRIBER_DATAGRAMS,
-                CapacityTarget.CONTROL_BYTES);
-        plain(
+                CapacityTarget.MAX_CONTROL_BYTES_PER_SECOND);
+        addRow(
                 rows,
                 "sidecar, four scopes",
                 "processor at rest",
                 ScaleMetric.SUBSCRIBER_CORES,
-                CapacityTarget.CONTROL_CORES,
+                CapacityTarget.MAX_CONTROL_CORES,
                 "cores");
-        plain(
+        addRow(
                 rows,
                 "sidecar, four scopes",
                 "heap, its part of a host",
                 ScaleMetric.SUBSCRIBER_HEAP,
-                CapacityTarget.CONTROL_KB,
+                CapacityTarget.MAX_CONTROL_KILOBYTES,
                 "KB");
-        String sidecars = "all sidecars, control tier";
-        plain(
+        String role = "all sidecars, control tier";
+        addRow(
                 rows,
-                sidecars,
+                role,
                 "all start at once: the last is sure",
                 ScaleMetric.CONTROL_START,
-                CapacityTarget.START_MS,
+                CapacityTarget.MAX_START_MILLIS,
                 "ms");
-        plain(rows, sidecars, "a change, nobody away", ScaleMetric.CONTROL_CHANGE, CapacityTarget.CHANGE_MS, "ms");
-        plain(
+        addRow(rows, role, "a change, nobody away", ScaleMetric.CONTROL_CHANGE, CapacityTarget.MAX_CHANGE_MILLIS, "ms");
+        addRow(
                 rows,
-                sidecars,
+                role,
                 "a change, one sidecar away",
                 ScaleMetric.CONTROL_CHANGE_ONE_AWAY,
-                CapacityTarget.CHANGE_MS,
+                CapacityTarget.MAX_CHANGE_MILLIS,
                 "ms");
-        plain(
+        addRow(
                 rows,
-                sidecars,
+                role,
                 "a second change right behind it",
                 ScaleMetric.CONTROL_SECOND_CHANGE,
-                CapacityTarget.CHANGE_MS,
+                CapacityTarget.MAX_CHANGE_MILLIS,
                 "ms");
     }
 
@@ -263,15 +264,15 @@
             rows.add(new Row(
                     role,
                     "bytes a second at rest, with headers",
-                    at(bytes) + CapacityTarget.HEADER_BYTES * at(datagrams),
+                    at(bytes) + CapacityTarget.DATAGRAM_HEADER_BYTES * at(datagrams),
                     budget,
                     "B/s",
-                    bytes.key() + " + " + CapacityTarget.HEADER_BYTES + " " + datagrams.key(),
+                    bytes.key() + " + " + CapacityTarget.DATAGRAM_HEADER_BYTES + " " + datagrams.key(),
                     "`control`"));
         }
     }
 
-    private void plain(List<Row> rows, String role, String what, ScaleMetric figure, double budget, String unit) {
+    private void addRow(List<Row> rows, String role, String what, ScaleMetric figure, double budget, String unit) {
         if (has(figure)) {
             rows.add(new Row(role, what, at(figure), budget, unit, figure.key(), "`control`"));
         }
@@ -281,14 +282,14 @@
         if (!has(ScaleMetric.LOAD_MESSAGES, ScaleMetric.LOAD_BYTES)) {
             return;
         }
-        double messages = slopes.get(ScaleMetric.LOAD_MESSAGES).fit().at(CapacityTarget.LOAD_MESSAGE_SIDECARS);
-        double bytes = slopes.get(ScaleMetric.LOAD_BYTES).fit().at(CapacityTarget.LOAD_MESSAGE_SIDECARS)
-                + CapacityTarget.HEADER_BYTES;
+        double messages = slopes.get(ScaleMetric.LOAD_MESSAGES).fit().valueAt(CapacityTarget.MAX_LOAD_MESSAGE_SIDECARS);
+        double bytes = slopes.get(ScaleMetric.LOAD_BYTES).fit().valueAt(CapacityTarget.MAX_LOAD_MESSAGE_SIDECARS)
+                + CapacityTarget.DATAGRAM_HEADER_BYTES;
         rows.add(new Row(
                 "sidecar, load messages",
                 "bytes a second in and out, if sent as at 300 sidecars",
-                2 * CapacityTarget.requestsASecond() * messages * bytes,
-                CapacityTarget.CONTROL_BYTES,
+                2 * CapacityTarget.requestsPerSecondPerSidecar() * messages * bytes,
+                CapacityTarget.MAX_CONTROL_BYTES_PER_SECOND,
                 "B/s",
                 "2 x 47.6 load-messages x (load-bytes + 28)",
                 "`gossip.InFlightGossip`: missing a budget in bytes"));
@@ -300,7 +301,7 @@
                     "sidecar, list",
                     "memory for 2,100 upstreams",
                     slopes.get(ScaleMetric.SIDECAR_RESIDENT).fit().slope() * CapacityTarget.SIDECARS,
-                    CapacityTarget.CONTROL_KB,
+                    CapacityTarget.MAX_CONTROL_KILOBYTES,
                     "KB",
                     "2,100 x slope of sidecar-resident",
                     "`membership`"));
@@ -310,7 +311,7 @@
                     "sidecar, list",
                     "processor without requests",
                     at(ScaleMetric.SIDECAR_CORES),
-                    CapacityTarget.CONTROL_CORES,
+                    CapacityTarget.MAX_CONTROL_CORES,
                     "cores",
                     "sidecar-cores",
                     "`membership`, `sidecar`"));
@@ -323,19 +324,19 @@
                     "sidecar, data path",
                     "added to a call, 99 in 100, chains of 8 and less",
                     slopes.get(ScaleMetric.CHAIN_ADDED_P99).fit().slope(),
-                    CapacityTarget.ADDED_US,
+                    CapacityTarget.MAX_ADDED_P99_MICROS,
                     "us",
                     "slope of chain-added-p99",
                     "`http1`, `core`"));
         }
         if (has(ScaleMetric.CHAIN_ATTEMPTS_LOG)) {
             double attempts =
-                    Math.exp(slopes.get(ScaleMetric.CHAIN_ATTEMPTS_LOG).fit().at(CapacityTarget.DEPTH));
+                    Math.exp(slopes.get(ScaleMetric.CHAIN_ATTEMPTS_LOG).fit().valueAt(CapacityTarget.CHAIN_DEPTH));
             rows.add(new Row(
                     "chain, 20 deep",
                     "attempts at a failing last hop for each request",
                     attempts,
-                    CapacityTarget.ATTEMPTS,
+                    CapacityTarget.MAX_ATTEMPTS_PER_REQUEST,
                     "",
                     "exp(chain-attempts-log at 20)",
                     "missing: a budget of attempts that goes with the call"));
@@ -348,7 +349,7 @@
                 "sidecar, subsets",
                 "pairs of sidecars and upstreams",
                 pairs,
-                CapacityTarget.SUBSET_PAIRS,
+                CapacityTarget.MAX_SUBSET_PAIRS,
                 "",
                 "2,100 x 2,100",
                 "`gossip.SubsetAssignment`: missing subsets by service"));
@@ -356,15 +357,15 @@
         rows.add(new Row(
                 "sidecar, list",
                 "whole list at a start, spread over 10 s",
-                listBytes / (CapacityTarget.START_MS / 1e3),
-                CapacityTarget.CONTROL_BYTES,
+                listBytes / (CapacityTarget.MAX_START_MILLIS / 1e3),
+                CapacityTarget.MAX_CONTROL_BYTES_PER_SECOND,
                 "B/s",
                 "2,100 x 150 B / 10 s",
                 "`membership.registry`: missing lists by service"));
         rows.add(new Row(
                 "discovery",
                 "whole lists when all start in 10 s, of a link of 1 Gbit/s",
-                listBytes * CapacityTarget.SIDECARS / (CapacityTarget.START_MS / 1e3),
+                listBytes * CapacityTarget.SIDECARS / (CapacityTarget.MAX_START_MILLIS / 1e3),
                 125_000_000,
                 "B/s",
                 "2,100 x 2,100 x 150 B / 10 s",
--- a/src/main/java/loadbalancer/capacity/ControlRun.java
+++ b/src/main/java/loadbalancer/capacity/ControlRun.java
@@ -20,8 +20,8 @@
 
     /** Starts all processes and tells each where the others are. */
     public ControlRun(ControlFleet fleet) throws IOException {
-        if (fleet.sidecars() > ScaleRun.MOST_MEMBERS) {
-            throw new IllegalArgumentException(fleet.sidecars() + " sidecars, at most " + ScaleRun.MOST_MEMBERS);
+        if (fleet.sidecars() > ScaleRun.MAX_MEMBERS) {
+            throw new IllegalArgumentException(fleet.sidecars() + " sidecars, at most " + ScaleRun.MAX_MEMBERS);
         }
         this.fleet = fleet;
         try {
@@ -95,7 +95,7 @@
     }
 
     /** Heap in use behind a collection in the sidecars' processes, kilobytes. */
-    public long sidecarHeapKb() throws IOException {
+    public long sidecarHeapKilobytes() throws IOException {
         return HostProcess.askAll(sidecars, "heap").stream()
                 .mapToLong(Long::parseLong)
                 .sum();
--- a/src/main/java/loadbalancer/capacity/LinearFit.java
+++ b/src/main/java/loadbalancer/capacity/LinearFit.java
@@ -54,7 +54,7 @@
     }
 
     /** What the line says at this size. */
-    public double at(double size) {
+    public double valueAt(double size) {
         return intercept + slope * size;
     }
 
--- a/src/main/java/loadbalancer/capacity/ProcessMemory.java
+++ b/src/main/java/loadbalancer/capacity/ProcessMemory.java
@@ -11,7 +11,7 @@
     private ProcessMemory() {}
 
     /** Kilobytes; -1 where the system does not tell. {@code process}: its number, or {@code self}. */
-    public static long residentKb(String process) throws IOException {
+    public static long residentKilobytes(String process) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc", process, "status"))) {
             if (line.startsWith(RESIDENT)) {
                 return Long.parseLong(
--- a/src/main/java/loadbalancer/capacity/RecordedSlope.java
+++ b/src/main/java/loadbalancer/capacity/RecordedSlope.java
@@ -12,14 +12,14 @@
  * @param sizes at which it was measured
  * @param date  of the run
  */
-public record RecordedSlope(ScaleMetric figure, LinearFit fit, List<Integer> sizes, String date) {
+public record RecordedSlope(ScaleMetric metric, LinearFit fit, List<Integer> sizes, String date) {
     /** First line of the file. */
     public static final String HEADER = "figure,intercept,slope,residual,sizes,date";
 
     private static final int FIELDS = 6;
 
     /** As a line of the file. */
-    public String line() {
+    public String csvLine() {
         StringBuilder joined = new StringBuilder();
         for (int size : sizes) {
             joined.append(joined.isEmpty() ? "" : " ").append(size);
@@ -27,7 +27,7 @@
         return String.format(
                 Locale.ROOT,
                 "%s,%.6g,%.6g,%.3f,%s,%s",
-                figure.key(),
+                metric.key(),
                 fit.intercept(),
                 fit.slope(),
                 fit.residual(),
@@ -48,7 +48,7 @@
         for (int i = 1; i < lines.size(); i++) {
             try {
                 RecordedSlope slope = parse(lines.get(i));
-                all.put(slope.figure, slope);
+                all.put(slope.metric, slope);
             } catch (IllegalArgumentException exception) {
                 throw new IllegalArgumentException("line " + (i + 1) + ": " + exception.getMessage(), exception);
             }
--- a/src/main/java/loadbalancer/capacity/ResourceUsage.java
+++ b/src/main/java/loadbalancer/capacity/ResourceUsage.java
@@ -7,17 +7,17 @@
 /**
  * What one process has used since its start.
  *
- * @param atUs         when it was asked, Unix time in microseconds
- * @param cpuMs        processor time, user and system
- * @param residentKb   memory that is in the machine, kilobytes
- * @param descriptors  open descriptors
+ * @param timeMicros         when it was asked, Unix time in microseconds
+ * @param cpuMillis        processor time, user and system
+ * @param residentKilobytes   memory that is in the machine, kilobytes
+ * @param openFileDescriptors  open descriptors
  * @param datagramsIn  datagrams received; with {@code datagramsOut}, {@code bytesIn} and {@code bytesOut} without headers
  */
 public record ResourceUsage(
-        long atUs,
-        long cpuMs,
-        long residentKb,
-        int descriptors,
+        long timeMicros,
+        long cpuMillis,
+        long residentKilobytes,
+        int openFileDescriptors,
         long datagramsIn,
         long datagramsOut,
         long bytesIn,
@@ -30,7 +30,7 @@
         return new ResourceUsage(
                 now,
                 CpuTime.usedMillis(),
-                ProcessMemory.residentKb("self"),
+                ProcessMemory.residentKilobytes("self"),
                 open == null ? -1 : open.length,
                 traffic.datagramsIn(),
                 traffic.datagramsOut(),
@@ -40,8 +40,8 @@
 
     /** As one line of fields apart by spaces. */
     String line() {
-        return atUs + " " + cpuMs + " " + residentKb + " " + descriptors + " " + datagramsIn + " " + datagramsOut + " "
-                + bytesIn + " " + bytesOut;
+        return timeMicros + " " + cpuMillis + " " + residentKilobytes + " " + openFileDescriptors + " " + datagramsIn
+                + " " + datagramsOut + " " + bytesIn + " " + bytesOut;
     }
 
     /** @throws IllegalArgumentException where the line is not what {@link #line} writes */
@@ -61,10 +61,10 @@
     /** What was used between an earlier moment and this one; memory and descriptors are those of this one. */
     public ResourceUsage since(ResourceUsage earlier) {
         return new ResourceUsage(
-                atUs - earlier.atUs,
-                cpuMs - earlier.cpuMs,
-                residentKb,
-                descriptors,
+                timeMicros - earlier.timeMicros,
+                cpuMillis - earlier.cpuMillis,
+                residentKilobytes,
+                openFileDescriptors,
                 datagramsIn - earlier.datagramsIn,
                 datagramsOut - earlier.datagramsOut,
                 bytesIn - earlier.bytesIn,
@@ -74,10 +74,10 @@
     /** The use of two processes together, over the longer of their times. */
     ResourceUsage plus(ResourceUsage other) {
         return new ResourceUsage(
-                Math.max(atUs, other.atUs),
-                cpuMs + other.cpuMs,
-                residentKb + other.residentKb,
-                descriptors + other.descriptors,
+                Math.max(timeMicros, other.timeMicros),
+                cpuMillis + other.cpuMillis,
+                residentKilobytes + other.residentKilobytes,
+                openFileDescriptors + other.openFileDescriptors,
                 datagramsIn + other.datagramsIn,
                 datagramsOut + other.datagramsOut,
                 bytesIn + other.bytesIn,
@@ -86,11 +86,11 @@
 
     /** Parts of one core. */
     public double cores() {
-        return cpuMs * 1_000.0 / atUs;
+        return cpuMillis * 1_000.0 / timeMicros;
     }
 
     /** So much of a count in each second. */
     public double perSecond(long count) {
-        return count * 1e6 / atUs;
+        return count * 1e6 / timeMicros;
     }
 }
--- a/src/main/java/loadbalancer/capacity/ScaleRun.java
+++ b/src/main/java/loadbalancer/capacity/ScaleRun.java
@@ -11,7 +11,7 @@
  */
 public final class ScaleRun implements AutoCloseable {
     /** Members that may take part: the target of docs/CAPACITY.md. */
-    public static final int MOST_MEMBERS = 2_100;
+    public static final int MAX_MEMBERS = 2_100;
 
     private static final int MEMBERS_A_HOST = 525;
     private static final long POLL_MS = 10;
@@ -22,19 +22,19 @@
      *
      * @param members how many of the role there are
      */
-    public record Window(int members, ResourceUsage usage) {
+    public record RoleUsage(int members, ResourceUsage usage) {
         /** Parts of a core of one member. */
-        public double cores() {
+        public double coresPerMember() {
             return usage.cores() / members;
         }
 
         /** Datagrams a second that one member sends and receives. */
-        public double datagrams() {
+        public double datagramsPerSecond() {
             return usage.perSecond(usage.datagramsIn() + usage.datagramsOut()) / members;
         }
 
         /** Bytes of content a second that one member sends and receives. */
-        public double bytes() {
+        public double bytesPerSecond() {
             return usage.perSecond(usage.bytesIn() + usage.bytesOut()) / members;
         }
     }
@@ -42,14 +42,14 @@
     /**
      * What a change of configuration came to.
      *
-     * @param reached members that came to go by it
-     * @param wanted  members that could be reached
-     * @param tookUs  until the last of those that came to it, microseconds
+     * @param adoptedMembers members that came to go by it
+     * @param expectedMembers members that could be reached
+     * @param elapsedMicros until the last of those that came to it, microseconds
      */
-    public record Change(int reached, int wanted, long tookUs) {
+    public record Change(int adoptedMembers, int expectedMembers, long elapsedMicros) {
         /** Whether all that could be reached go by it. */
-        public boolean everywhere() {
-            return reached >= wanted;
+        public boolean isComplete() {
+            return adoptedMembers >= expectedMembers;
         }
     }
 
@@ -70,8 +70,8 @@
 
     /** {@code real}: the address that a real sidecar, the last member, speaks from; empty for none. */
     ScaleRun(int members, int voters, long leaseUs, long seed, String real) throws IOException {
-        if (members > MOST_MEMBERS || members < voters + 1) {
-            throw new IllegalArgumentException(members + " members, from " + (voters + 1) + " to " + MOST_MEMBERS);
+        if (members > MAX_MEMBERS || members < voters + 1) {
+            throw new IllegalArgumentException(members + " members, from " + (voters + 1) + " to " + MAX_MEMBERS);
         }
         fleet = new ScaleFleet("scale", members, voters, leaseUs, seed);
         int hollow = real.isEmpty() ? members : members - 1;
@@ -124,9 +124,10 @@
         long begun = System.nanoTime();
         askAll("start");
         int wanted = all().stream().mapToInt(HostProcess::members).sum();
-        while (sure() < wanted) {
+        while (readyMembers() < wanted) {
             if (System.nanoTime() - begun > READY_MS * 1_000_000) {
-                throw new IOException(sure() + " of " + wanted + " members are ready after " + READY_MS + " ms");
+                throw new IOException(
+                        readyMembers() + " of " + wanted + " members are ready after " + READY_MS + " ms");
             }
             Thread.sleep(POLL_MS);
         }
@@ -134,7 +135,7 @@
     }
 
     /** Members that are sure of what is in force. */
-    public int sure() throws IOException {
+    public int readyMembers() throws IOException {
         return askAll("sure").stream().mapToInt(Integer::parseInt).sum();
     }
 
@@ -144,12 +145,12 @@
     }
 
     /** What all members without a vote have used since their start. */
-    public ResourceUsage memberUsage() throws IOException {
+    public ResourceUsage nonVoterUsage() throws IOException {
         return HostProcess.usage(others);
     }
 
     /** Each member has requests of its own from now on and tells the others what it holds. */
-    public void load(double requestsPerSecond) throws IOException {
+    public void startRequests(double requestsPerSecond) throws IOException {
         askAll("load " + requestsPerSecond);
     }
 
@@ -164,7 +165,7 @@
     }
 
     /** Heap in use behind a collection in the processes of members without a vote, kilobytes. */
-    public long memberHeapKb() throws IOException {
+    public long nonVoterHeapKilobytes() throws IOException {
         long sum = 0;
         for (HostProcess host : others) {
             sum += Long.parseLong(host.ask("heap"));
@@ -173,7 +174,7 @@
     }
 
     /** Hollow members without a vote. */
-    public int memberCount() {
+    public int nonVoterCount() {
         return others.stream().mapToInt(HostProcess::members).sum();
     }
 
@@ -215,8 +216,8 @@
     }
 
     /** The member neither hears nor speaks, or it does again. */
-    public void silence(int member, boolean now) throws IOException {
-        hostOf(member).ask("silence " + member + " " + (now ? 1 : 0));
+    public void setSilent(int member, boolean silent) throws IOException {
+        hostOf(member).ask("silence " + member + " " + (silent ? 1 : 0));
     }
 
     /** Another process in its place, which remembers nothing. */
@@ -225,13 +226,13 @@
     }
 
     /** Members from {@code from} to before {@code until} and the others hear nothing of each other; equal numbers end it. */
-    public void cut(int from, int until) throws IOException {
+    public void partition(int from, int until) throws IOException {
         askAll("cut " + from + " " + until);
     }
 
     /** A part of all datagrams is lost from now on. */
-    public void lose(double part) throws IOException {
-        askAll("lose " + part);
+    public void setLossRate(double lossRate) throws IOException {
+        askAll("lose " + lossRate);
     }
 
     /** The voter's process ends at once; nobody comes in its place. */
--- a/src/test/java/loadbalancer/capacity/CapacityPageTest.java
+++ b/src/test/java/loadbalancer/capacity/CapacityPageTest.java
@@ -34,9 +34,9 @@
         Map<ScaleMetric, RecordedSlope> slopes = RecordedSlope.read(Files.readAllLines(SLOPES));
         assertEquals(ScaleMetric.values().length, slopes.size());
         for (RecordedSlope slope : slopes.values()) {
-            assertTrue(slope.sizes().size() >= 3, slope.line());
-            assertTrue(slope.date().matches("\\d{4}-\\d{2}-\\d{2}"), slope.line());
-            assertTrue(slope.fit().residual() >= 0, slope.line());
+            assertTrue(slope.sizes().size() >= 3, slope.csvLine());
+            assertTrue(slope.date().matches("\\d{4}-\\d{2}-\\d{2}"), slope.csvLine());
+            assertTrue(slope.fit().residual() >= 0, slope.csvLine());
         }
     }
 
@@ -56,7 +56,7 @@
         RecordedSlope written = slope(ScaleMetric.VOTER_BYTES, 12.5, 92.25);
         assertEquals(
                 Map.of(ScaleMetric.VOTER_BYTES, written),
-                RecordedSlope.read(List.of(RecordedSlope.HEADER, written.line())));
+                RecordedSlope.read(List.of(RecordedSlope.HEADER, written.csvLine())));
     }
 
     @Test
--- a/src/test/java/loadbalancer/capacity/ControlRunTest.java
+++ b/src/test/java/loadbalancer/capacity/ControlRunTest.java
@@ -22,15 +22,15 @@
             run.startSidecars();
             for (int scope = 0; scope < 3; scope++) {
                 ScaleRun.Change change = run.change(scope, scope, 0, MOST_US);
-                assertTrue(change.everywhere(), change::toString);
-                assertEquals(FLEET.subscribers(scope), change.wanted());
+                assertTrue(change.isComplete(), change::toString);
+                assertEquals(FLEET.subscribers(scope), change.expectedMembers());
             }
             int away = run.subscriberOf(4);
             run.silence(away);
-            assertTrue(run.change(1, 4, 1, MOST_US).everywhere());
+            assertTrue(run.change(1, 4, 1, MOST_US).isComplete());
             run.restart(away);
             run.killReplica(0);
-            assertTrue(run.change(1, 4, 0, MOST_US).everywhere(), "with it again, and one voter less");
+            assertTrue(run.change(1, 4, 0, MOST_US).isComplete(), "with it again, and one voter less");
             ResourceUsage before = run.sidecarUsage();
             run.change(2, 5, 0, MOST_US);
             assertTrue(run.sidecarUsage().since(before).datagramsOut() > 0);
--- a/src/test/java/loadbalancer/capacity/LinearFitTest.java
+++ b/src/test/java/loadbalancer/capacity/LinearFitTest.java
@@ -13,7 +13,7 @@
         assertEquals(2, fit.slope(), 1e-9);
         assertEquals(7, fit.intercept(), 1e-9);
         assertEquals(0, fit.residual(), 1e-9);
-        assertEquals(4_207, fit.at(2_100), 1e-6);
+        assertEquals(4_207, fit.valueAt(2_100), 1e-6);
     }
 
     @Test
--- a/src/test/java/loadbalancer/capacity/ScaleRunTest.java
+++ b/src/test/java/loadbalancer/capacity/ScaleRunTest.java
@@ -30,18 +30,18 @@
             run.start();
             assertReached(members, run.change(5, n -> true, PATIENCE_US), "nobody away");
 
-            run.silence(11, true);
+            run.setSilent(11, true);
             assertReached(members - 1, run.change(5, n -> n != 11, PATIENCE_US), "one away");
-            run.silence(11, false);
+            run.setSilent(11, false);
 
-            run.cut(8, members);
+            run.partition(8, members);
             assertReached(8, run.change(5, n -> n < 8, PATIENCE_US), "a third cut off");
-            run.cut(0, 0);
+            run.partition(0, 0);
 
-            run.lose(0.1);
+            run.setLossRate(0.1);
             run.restart(9);
             assertReached(members, run.change(6, n -> true, PATIENCE_US), "one datagram in ten lost, one restarted");
-            run.lose(0);
+            run.setLossRate(0);
 
             run.killVoter(2);
             assertReached(members - 1, run.change(5, n -> n != 2, PATIENCE_US), "a voter killed");
@@ -49,8 +49,8 @@
     }
 
     private static void assertReached(int wanted, ScaleRun.Change change, String what) {
-        assertEquals(wanted, change.wanted(), what);
-        assertTrue(change.everywhere(), what + ": " + change);
+        assertEquals(wanted, change.expectedMembers(), what);
+        assertTrue(change.isComplete(), what + ": " + change);
     }
 
     /** What stands for a real sidecar in the scale run says as much as a real one at rest. */
--- a/src/test/java/loadbalancer/stored/CapacitySlopesTest.java
+++ b/src/test/java/loadbalancer/stored/CapacitySlopesTest.java
@@ -32,7 +32,7 @@
         StringBuilder written = new StringBuilder(RecordedSlope.HEADER).append('\n');
         for (ScaleMetric figure :
                 List.of(ScaleMetric.VOTER_DATAGRAMS, ScaleMetric.MEMBER_CORES, ScaleMetric.CHAIN_ATTEMPTS_LOG)) {
-            written.append(expected.get(figure).line()).append('\n');
+            written.append(expected.get(figure).csvLine()).append('\n');
         }
         StoredSamples.assertWritten(SAMPLE, written.toString().getBytes(StandardCharsets.UTF_8));
         assertEquals(expected, RecordedSlope.read(StoredSamples.lines(SAMPLE)));
