--- a/src/main/java/loadbalancer/capacity/CapacityTable.java
+++ b/src/main/java/loadbalancer/capacity/CapacityTable.java
@@ -5,24 +5,37 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What each role bears at the target, from recorded slopes and plain arithmetic, beside its budget. Pure. */
+/**
+ * A table of the load on each role at the target size beside its budget, extrapolated from recorded slopes or
+ * calculated. Pure. The table is part of docs/CAPACITY.md, so its texts can only change together with that page.
+ */
 public final class CapacityTable {
-    /** A row is over its budget from this ratio on. */
-    private static final double OVER = 1;
-    /** From here on a ratio is told without its hundredths, and a number as a power of ten. */
-    private static final double LARGE = 1_000, HUGE = 1e9;
+    /** A row is over its budget above this ratio. */
+    private static final double MAX_RATIO = 1;
+    /** Ratios from the first on are written without decimals, numbers from the second on in scientific notation. */
+    private static final double MIN_WHOLE_RATIO = 1_000, MIN_SCIENTIFIC = 1e9;
 
-    /** First line and rule of the table. */
-    static final String HEAD = "| role | what | at 2,100 | budget | ratio | from | carried by |\n"
+    /** Header row and delimiter row of the table. */
+    static final String HEADER = "| role | what | at 2,100 | budget | ratio | from | carried by |\n"
             + "| --- | --- | --- | --- | --- | --- | --- |\n";
 
     /**
-     * @param value     at the target
-     * @param budget    in the same unit
-     * @param from      the figures it is made of, with how
-     * @param mechanism the package that carries it, or what is missing
+     * A row of the table.
+     *
+     * @param quantity what is compared with the budget
+     * @param value at the target size
+     * @param budget in the same unit
+     * @param formula metrics and constants from which the value is calculated
+     * @param implementation package that carries the load, or what is missing
      */
-    record Row(String role, String what, double value, double budget, String unit, String from, String mechanism) {
+    record Row(
+            String role,
+            String quantity,
+            double value,
+            double budget,
+            String unit,
+            String formula,
+            String implementation) {
         double ratio() {
             return value / budget;
         }
@@ -32,19 +45,21 @@
                     Locale.ROOT,
                     "| %s | %s | %s | %s | %s | %s | %s |\n",
                     role,
-                    what,
-                    (number(value) + " " + unit).trim(),
-                    number(budget),
-                    ratio() < LARGE ? String.format(Locale.ROOT, "%.2f", ratio()) : number(ratio()),
-                    from,
-                    mechanism);
+                    quantity,
+                    (format(value) + " " + unit).trim(),
+                    format(budget),
+                    ratio() < MIN_WHOLE_RATIO ? String.format(Locale.ROOT, "%.2f", ratio()) : format(ratio()),
+                    formula,
+                    implementation);
         }
 
-        private static String number(double n) {
-            if (n >= HUGE) {
-                return String.format(Locale.ROOT, "%.1e", n);
+        private static String format(double value) {
+            if (value >= MIN_SCIENTIFIC) {
+                return String.format(Locale.ROOT, "%.1e", value);
             }
-            return n >= 100 ? String.format(Locale.ROOT, "%,.0f", n) : String.format(Locale.ROOT, "%.3g", n);
+            return value >= 100
+                    ? String.format(Locale.ROOT, "%,.0f", value)
+                    : String.format(Locale.ROOT, "%.3g", value);
         }
     }
 
@@ -54,30 +69,31 @@
         this.slopes = slopes;
     }
 
-    /** The whole table in Markdown; rows whose figures were not measured are left out. */
+    /** The whole table in Markdown; rows whose metrics were not measured are left out. */
     public static String markdown(Map<ScaleMetric, RecordedSlope> slopes) {
-        StringBuilder table = new StringBuilder(HEAD);
+        StringBuilder table = new StringBuilder(HEADER);
         new CapacityTable(slopes).rows().forEach(row -> table.append(row.markdown()));
         return table.toString();
     }
 
-    /** A sentence for each row that is over its budget. */
+    /** A message for each row that is over its budget. */
     public static List<String> overBudget(Map<ScaleMetric, RecordedSlope> slopes) {
         return new CapacityTable(slopes)
                 .rows().stream()
-                        .filter(row -> row.ratio() > OVER)
+                        .filter(row -> row.ratio() > MAX_RATIO)
                         .map(row -> String.format(
-                                Locale.ROOT, "%s, %s: %.3g times its budget", row.role, row.what, row.ratio()))
+                                Locale.ROOT, "%s, %s: %.3g times its budget", row.role, row.quantity, row.ratio()))
                         .toList();
     }
 
-    private double at(ScaleMetric figure) {
-        return slopes.get(figure).fit().valueAt(CapacityTarget.SIDECARS);
+    /** The value of a metric at the target number of sidecars. */
+    private double atTarget(ScaleMetric metric) {
+        return slopes.get(metric).fit().valueAt(CapacityTarget.SIDECARS);
     }
 
-    private boolean has(ScaleMetric... figures) {
-        for (ScaleMetric figure : figures) {
-            if (!slopes.containsKey(figure)) {
+    private boolean has(ScaleMetric... metrics) {
+        for (ScaleMetric metric : metrics) {
+            if (!slopes.containsKey(metric)) {
                 return false;
             }
         }
@@ -86,22 +102,22 @@
 
     private List<Row> rows() {
         List<Row> rows = new ArrayList<>();
-        voter(rows);
-        member(rows);
-        changes(rows);
-        control(rows);
-        load(rows);
-        sidecar(rows);
-        chain(rows);
-        arithmetic(rows);
+        addVoterRows(rows);
+        addNonVoterRows(rows);
+        addChangeRows(rows);
+        addControlTierRows(rows);
+        addGossipRows(rows);
+        addEndpointListRows(rows);
+        addChainRows(rows);
+        addCalculatedRows(rows);
         return rows;
     }
 
-    private void voter(List<Row> rows) {
-        String flat = "`consensus`, flat: a control tier in its place";
+    private void addVoterRows(List<Row> rows) {
+        String implementation = "`consensus`, flat: a control tier in its place";
         if (has(ScaleMetric.VOTER_BYTES, ScaleMetric.VOTER_DATAGRAMS)) {
-            double bytes = at(ScaleMetric.VOTER_BYTES)
-                    + CapacityTarget.DATAGRAM_HEADER_BYTES * at(ScaleMetric.VOTER_DATAGRAMS);
+            double bytes = atTarget(ScaleMetric.VOTER_BYTES)
+                    + CapacityTarget.DATAGRAM_HEADER_BYTES * atTarget(ScaleMetric.VOTER_DATAGRAMS);
             rows.add(new Row(
                     "voter, itself a sidecar",
                     "bytes a second at rest, with headers",
@@ -109,24 +125,24 @@
                     CapacityTarget.MAX_CONTROL_BYTES_PER_SECOND,
                     "B/s",
                     "voter-bytes + 28 voter-datagrams",
-                    flat));
+                    implementation));
         }
         if (has(ScaleMetric.VOTER_CORES)) {
             rows.add(new Row(
                     "voter, itself a sidecar",
                     "processor at rest",
-                    at(ScaleMetric.VOTER_CORES),
+                    atTarget(ScaleMetric.VOTER_CORES),
                     CapacityTarget.MAX_CONTROL_CORES,
                     "cores",
                     "voter-cores",
-                    flat));
+                    implementation));
         }
     }
 
-    private void member(List<Row> rows) {
+    private void addNonVoterRows(List<Row> rows) {
         if (has(ScaleMetric.MEMBER_BYTES, ScaleMetric.MEMBER_DATAGRAMS)) {
-            double bytes = at(ScaleMetric.MEMBER_BYTES)
-                    + CapacityTarget.DATAGRAM_HEADER_BYTES * at(ScaleMetric.MEMBER_DATAGRAMS);
+            double bytes = atTarget(ScaleMetric.MEMBER_BYTES)
+                    + CapacityTarget.DATAGRAM_HEADER_BYTES * atTarget(ScaleMetric.MEMBER_DATAGRAMS);
             rows.add(new Row(
                     "sidecar, leases",
                     "bytes a second at rest, with headers",
@@ -140,7 +156,7 @@
             rows.add(new Row(
                     "sidecar, leases",
                     "processor at rest",
-                    at(ScaleMetric.MEMBER_CORES),
+                    atTarget(ScaleMetric.MEMBER_CORES),
                     CapacityTarget.MAX_CONTROL_CORES,
                     "cores",
                     "member-cores",
@@ -150,7 +166,7 @@
             rows.add(new Row(
                     "sidecar, leases",
                     "heap, its part of a host of 525",
-                    at(ScaleMetric.MEMBER_HEAP),
+                    atTarget(ScaleMetric.MEMBER_HEAP),
                     CapacityTarget.MAX_CONTROL_KILOBYTES,
                     "KB",
                     "member-heap",
@@ -158,12 +174,12 @@
         }
     }
 
-    private void changes(List<Row> rows) {
+    private void addChangeRows(List<Row> rows) {
         if (has(ScaleMetric.START)) {
             rows.add(new Row(
                     "all sidecars",
                     "all start at once: the last is sure",
-                    at(ScaleMetric.START),
+                    atTarget(ScaleMetric.START),
                     CapacityTarget.MAX_START_MILLIS,
                     "ms",
                     "start",
@@ -173,14 +189,14 @@
             rows.add(new Row(
                     "all sidecars",
                     "a change, nobody away",
-                    at(ScaleMetric.CHANGE),
+                    atTarget(ScaleMetric.CHANGE),
                     CapacityTarget.MAX_CHANGE_MILLIS,
                     "ms",
                     "change",
                     "`consensus`"));
         }
         if (has(ScaleMetric.CHANGE_ONE_AWAY)) {
-            double oneAway = at(ScaleMetric.CHANGE_ONE_AWAY);
+            double oneAway = atTarget(ScaleMetric.CHANGE_ONE_AWAY);
             rows.add(new Row(
                     "all sidecars",
                     "a change, one sidecar away",
@@ -200,8 +216,8 @@
         }
     }
 
-    private void control(List<Row> rows) {
-        withHeaders(
+    private void addControlTierRows(List<Row> rows) {
+        addTrafficRow(
                 rows,
                 "control replica that votes",
                 ScaleMetric.REPLICA_BYTES,
@@ -214,7 +230,7 @@
                 ScaleMetric.REPLICA_CORES,
                 CapacityTarget.MAX_REPLICA_CORES,
                 "cores");
-        withHeaders(
+        addTrafficRow(
                 rows,
                 "sidecar, four scopes",
                 ScaleMetric.SUBSCRIBER_BYTES,
@@ -259,12 +275,12 @@
                 "ms");
     }
 
-    private void withHeaders(List<Row> rows, String role, ScaleMetric bytes, ScaleMetric datagrams, double budget) {
+    private void addTrafficRow(List<Row> rows, String role, ScaleMetric bytes, ScaleMetric datagrams, double budget) {
         if (has(bytes, datagrams)) {
             rows.add(new Row(
                     role,
                     "bytes a second at rest, with headers",
-                    at(bytes) + CapacityTarget.DATAGRAM_HEADER_BYTES * at(datagrams),
+                    atTarget(bytes) + CapacityTarget.DATAGRAM_HEADER_BYTES * atTarget(datagrams),
                     budget,
                     "B/s",
                     bytes.key() + " + " + CapacityTarget.DATAGRAM_HEADER_BYTES + " " + datagrams.key(),
@@ -272,13 +288,13 @@
         }
     }
 
-    private void addRow(List<Row> rows, String role, String what, ScaleMetric figure, double budget, String unit) {
-        if (has(figure)) {
-            rows.add(new Row(role, what, at(figure), budget, unit, figure.key(), "`control`"));
+    private void addRow(List<Row> rows, String role, String quantity, ScaleMetric metric, double budget, String unit) {
+        if (has(metric)) {
+            rows.add(new Row(role, quantity, atTarget(metric), budget, unit, metric.key(), "`control`"));
         }
     }
 
-    private void load(List<Row> rows) {
+    private void addGossipRows(List<Row> rows) {
         if (!has(ScaleMetric.LOAD_MESSAGES, ScaleMetric.LOAD_BYTES)) {
             return;
         }
@@ -295,7 +311,7 @@
                 "`gossip.InFlightGossip`: missing a budget in bytes"));
     }
 
-    private void sidecar(List<Row> rows) {
+    private void addEndpointListRows(List<Row> rows) {
         if (has(ScaleMetric.SIDECAR_RESIDENT)) {
             rows.add(new Row(
                     "sidecar, list",
@@ -310,7 +326,7 @@
             rows.add(new Row(
                     "sidecar, list",
                     "processor without requests",
-                    at(ScaleMetric.SIDECAR_CORES),
+                    atTarget(ScaleMetric.SIDECAR_CORES),
                     CapacityTarget.MAX_CONTROL_CORES,
                     "cores",
                     "sidecar-cores",
@@ -318,7 +334,7 @@
         }
     }
 
-    private void chain(List<Row> rows) {
+    private void addChainRows(List<Row> rows) {
         if (has(ScaleMetric.CHAIN_ADDED_P99)) {
             rows.add(new Row(
                     "sidecar, data path",
@@ -343,7 +359,7 @@
         }
     }
 
-    private static void arithmetic(List<Row> rows) {
+    private static void addCalculatedRows(List<Row> rows) {
         double pairs = (double) CapacityTarget.SIDECARS * CapacityTarget.SIDECARS;
         rows.add(new Row(
                 "sidecar, subsets",
--- a/src/main/java/loadbalancer/capacity/CapacityTarget.java
+++ b/src/main/java/loadbalancer/capacity/CapacityTarget.java
@@ -1,44 +1,44 @@
 package loadbalancer.capacity;
 
-/** The size that is coming and its budgets, as docs/CAPACITY.md states them. */
+/** The fleet size to plan for and the budgets at that size, as stated in docs/CAPACITY.md. */
 public final class CapacityTarget {
-    /** Upstreams, each with a sidecar of its own. */
+    /** Number of upstreams, each with a sidecar of its own. */
     public static final int SIDECARS = 2_100;
-    /** Calls a second in the whole fleet. */
+    /** Calls in the whole fleet. */
     public static final int CALLS_PER_SECOND = 100_000;
-    /** Until a change is in force everywhere, milliseconds. */
+    /** Longest time until a change is active everywhere. */
     public static final double MAX_CHANGE_MILLIS = 9_000;
-    /** Until all that start at once are ready, milliseconds. */
+    /** Longest time until all sidecars are ready if all start at once. */
     public static final double MAX_START_MILLIS = 10_000;
-    /** Control of a sidecar: part of a core. */
+    /** Processor budget of one sidecar's control code. */
     public static final double MAX_CONTROL_CORES = 0.011;
-    /** Control of a sidecar: kilobytes of memory. */
+    /** Memory budget of one sidecar's control code. */
     public static final double MAX_CONTROL_KILOBYTES = 32 * 1_024;
-    /** Control of a sidecar: bytes a second in and out, with headers. */
+    /** Network budget of one sidecar's control code, sent and received, with headers. */
     public static final double MAX_CONTROL_BYTES_PER_SECOND = 16 * 1_024;
-    /** That a sidecar adds to a call, 99 in 100, microseconds. */
+    /** Longest time that a sidecar may add to a call at the 99th percentile. */
     public static final double MAX_ADDED_P99_MICROS = 1_600;
-    /** Services that a call goes through, one calling the next. */
+    /** Number of services that a call passes through, each calling the next. */
     public static final int CHAIN_DEPTH = 20;
-    /** Attempts at a failing last service for each request at the first. */
+    /** Most attempts at a failing last service per request at the first. */
     public static final double MAX_ATTEMPTS_PER_REQUEST = 1.2;
-    /** IPv4 and UDP headers of a datagram, bytes (RFC 791, RFC 768). */
+    /** IPv4 and UDP headers of a datagram (RFC 791, RFC 768). */
     public static final int DATAGRAM_HEADER_BYTES = 28;
-    /** Sidecars times upstreams up to which {@code gossip.SubsetAssignment} assigns subsets. */
+    /** Largest number of sidecars times upstreams for which {@code gossip.SubsetAssignment} assigns subsets. */
     public static final int MAX_SUBSET_PAIRS = 100_000;
-    /** Bytes of one upstream in a whole list, as discovery writes it. */
+    /** Size of one upstream in a full endpoint list from discovery. */
     public static final int LIST_ENTRY_BYTES = 150;
-    /** Of a sidecar of the largest fleet in which load messages are sent. */
+    /** Size of the largest fleet in which sidecars gossip their requests in flight. */
     public static final int MAX_LOAD_MESSAGE_SIDECARS = 300;
 
-    /** Of a control machine's core, so that three times room is left. */
+    /** Processor budget of a control replica: a third of a core, so that it can triple. */
     public static final double MAX_REPLICA_CORES = 1.0 / 3;
-    /** Of a control machine's link of 1 Gbit/s, bytes a second, so that three times room is left. */
+    /** Network budget of a control replica: a third of a link of 1 Gbit/s, so that it can triple. */
     public static final double MAX_REPLICA_BYTES_PER_SECOND = 125e6 / 3;
 
     private CapacityTarget() {}
 
-    /** Requests a second of one sidecar. */
+    /** Average request rate of one sidecar. */
     public static double requestsPerSecondPerSidecar() {
         return (double) CALLS_PER_SECOND / SIDECARS;
     }
--- a/src/main/java/loadbalancer/capacity/ControlFleet.java
+++ b/src/main/java/loadbalancer/capacity/ControlFleet.java
@@ -6,13 +6,23 @@
 import loadbalancer.control.ControlGroup;
 
 /**
- * A control tier and its sidecars in a scale run, the same at all hosts. Numbers: replicas first, then sidecars.
+ * Configuration of a control tier and its sidecars in a scale run, the same at all hosts. Processes are numbered,
+ * replicas first, then sidecars.
  *
- * @param scopesEach scopes that each sidecar subscribes to
+ * @param scopes number of scopes
+ * @param scopesPerSidecar number of scopes that each sidecar subscribes to
+ * @param leaseMicros length of a replica's lease
+ * @param subscriberLeaseMicros length of a sidecar's lease
  */
 public record ControlFleet(
-        int replicas, int voters, int sidecars, int scopes, int scopesEach, long leaseUs, long subscriberLeaseUs) {
-    private static final int FIELDS = 7;
+        int replicas,
+        int voters,
+        int sidecars,
+        int scopes,
+        int scopesPerSidecar,
+        long leaseMicros,
+        long subscriberLeaseMicros) {
+    private static final int ARGUMENT_COUNT = 7;
 
     int processes() {
         return replicas + sidecars;
@@ -21,42 +31,45 @@
     ControlGroup group() {
         List<String> names =
                 IntStream.range(0, scopes).mapToObj(scope -> "service-" + scope).toList();
-        return new ControlGroup("scale", names, voters, replicas, leaseUs, subscriberLeaseUs);
+        return new ControlGroup("scale", names, voters, replicas, leaseMicros, subscriberLeaseMicros);
     }
 
-    /** What a sidecar subscribes to: drawn from its number, so that each host knows it of all. */
+    /**
+     * The scopes that a sidecar subscribes to, drawn with its number as the seed, so that all hosts draw the same ones.
+     */
     List<Integer> scopesOf(int number) {
         return new SplittableRandom(number)
                 .ints(0, scopes)
                 .distinct()
-                .limit(Math.min(scopes, scopesEach))
+                .limit(Math.min(scopes, scopesPerSidecar))
                 .boxed()
                 .toList();
     }
 
-    /** Sidecars that subscribe to a scope. */
+    /** Number of sidecars that subscribe to a scope. */
     int subscribers(int scope) {
         return (int) IntStream.range(replicas, processes())
                 .filter(number -> scopesOf(number).contains(scope))
                 .count();
     }
 
-    /** As arguments of a host. */
+    /** Command-line arguments for a host. */
     List<String> arguments() {
         return List.of(
                 String.valueOf(replicas),
                 String.valueOf(voters),
                 String.valueOf(sidecars),
                 String.valueOf(scopes),
-                String.valueOf(scopesEach),
-                String.valueOf(leaseUs),
-                String.valueOf(subscriberLeaseUs));
+                String.valueOf(scopesPerSidecar),
+                String.valueOf(leaseMicros),
+                String.valueOf(subscriberLeaseMicros));
     }
 
-    /** Reads what {@link #arguments} writes. */
+    /** Parses what {@link #arguments} returns; further arguments are ignored. */
     static ControlFleet parse(List<String> arguments) {
-        if (arguments.size() < FIELDS) {
-            throw new IllegalArgumentException(arguments.size() + " arguments, " + FIELDS + " wanted");
+        if (arguments.size() < ARGUMENT_COUNT) {
+            throw new IllegalArgumentException(
+                    arguments.size() + " arguments found, at least " + ARGUMENT_COUNT + " expected");
         }
         return new ControlFleet(
                 Integer.parseInt(arguments.get(0)),
--- a/src/main/java/loadbalancer/capacity/ControlHost.java
+++ b/src/main/java/loadbalancer/capacity/ControlHost.java
@@ -15,12 +15,15 @@
 import loadbalancer.core.Clock;
 
 /**
- * A process that hosts replicas, or the control parts of sidecars, of consecutive numbers. It does what its standard input says, a command a
- * line, answers each with one line, and ends when that input ends.
+ * A process that hosts control replicas, or the control parts of sidecars, with consecutive numbers. Reads commands
+ * from standard input, one per line, and answers each with one line. Exits when its input ends, so that no host
+ * outlives the process that started it.
  *
- * <p>Arguments: those of {@link ControlFleet}, the first number, the number behind the last. The first line printed has the ports. Commands:
- * {@code peers PORT...}, {@code start}, {@code usage}, {@code sure}, {@code propose NUMBER SCOPE TEXT}, {@code settled TEXT},
- * {@code silence NUMBER}, {@code restart NUMBER}, {@code heap}.
+ * <p>Arguments: those of {@link ControlFleet}, the first member number, and the number after the last. The first line
+ * printed has the ports of the hosted members. Commands: {@code peers PORT...}, {@code start}, {@code usage},
+ * {@code sure} (answers how many members are ready), {@code propose NUMBER SCOPE TEXT}, {@code settled TEXT} (answers
+ * how many adoptions of this content there were and when the last one was), {@code silence NUMBER},
+ * {@code restart NUMBER}, {@code heap}.
  */
 public final class ControlHost {
     private final int first;
@@ -28,7 +31,7 @@
     private final Clock clock = new Clock();
     private final MemberDirectory directory;
     private final TrafficCounters traffic = new TrafficCounters();
-    private final SettledLog settled = new SettledLog();
+    private final AdoptionLog adoptions = new AdoptionLog();
     private final List<MinimalControlMember> members = new ArrayList<>();
 
     private ControlHost(ControlFleet fleet, EventLoop loop, int first, int until) {
@@ -36,11 +39,11 @@
         this.loop = loop;
         directory = new MemberDirectory(fleet.processes(), first);
         for (int number = first; number < until; number++) {
-            members.add(new MinimalControlMember(number, fleet, loop, clock, directory, traffic, settled));
+            members.add(new MinimalControlMember(number, fleet, loop, clock, directory, traffic, adoptions));
         }
     }
 
-    /** Hosts its members until standard input ends. */
+    /** Hosts members until standard input ends; see the class for the arguments. */
     public static void main(String[] args) throws Exception {
         ControlFleet fleet = ControlFleet.parse(List.of(args));
         int first = Integer.parseInt(args[args.length - 2]);
@@ -59,15 +62,16 @@
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line; (line = in.readLine()) != null; ) {
                 String[] command = line.split(" ");
-                Callable<String> work = () -> answer(command);
-                System.out.println(loop.submit(work).get());
+                Callable<String> task = () -> execute(command);
+                System.out.println(loop.submit(task).get());
             }
         }
     }
 
-    private String answer(String[] command) throws IOException {
+    /** Executes a command, split at spaces, on the event loop, and returns its answer. */
+    private String execute(String[] command) throws IOException {
         switch (command[0]) {
-            case "peers" -> learn(command);
+            case "peers" -> setPeers(command);
             case "start" -> members.forEach(MinimalControlMember::start);
             case "silence" -> member(command[1]).silence();
             case "restart" -> member(command[1]).start();
@@ -75,21 +79,21 @@
                 return ResourceUsage.ofThisProcess(clock.nowMicros(), traffic).line();
             }
             case "heap" -> {
-                return String.valueOf(ProcessMemory.heapKb());
+                return String.valueOf(ProcessMemory.heapKilobytes());
             }
             case "sure" -> {
                 return String.valueOf(
-                        members.stream().filter(MinimalControlMember::sure).count());
+                        members.stream().filter(MinimalControlMember::isReady).count());
             }
             case "propose" -> {
-                String refusal = member(command[1]).propose(Integer.parseInt(command[2]), content(command[3]));
-                return refusal == null ? String.valueOf(clock.nowMicros()) : "refused " + refusal;
+                String rejection = member(command[1]).propose(Integer.parseInt(command[2]), content(command[3]));
+                return rejection == null ? String.valueOf(clock.nowMicros()) : "refused " + rejection;
             }
             case "settled" -> {
-                SettledLog.Progress progress = settled.of(ConsensusNode.versionOf(content(command[1])));
-                return progress.count() + " " + progress.lastUs();
+                AdoptionLog.Progress progress = adoptions.progress(ConsensusNode.versionOf(content(command[1])));
+                return progress.adoptions() + " " + progress.lastMicros();
             }
-            default -> throw new IllegalArgumentException("no command '" + command[0] + "'");
+            default -> throw new IllegalArgumentException("unknown command '" + command[0] + "'");
         }
         return "ok";
     }
@@ -102,7 +106,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private void learn(String[] command) {
+    private void setPeers(String[] command) {
         for (int i = 1; i < command.length; i++) {
             directory.put(i - 1, new InetSocketAddress("127.0.0.1", Integer.parseInt(command[i])));
         }
--- a/src/main/java/loadbalancer/capacity/ControlRun.java
+++ b/src/main/java/loadbalancer/capacity/ControlRun.java
@@ -5,134 +5,147 @@
 import java.util.List;
 
 /**
- * A control tier on real sockets: each replica in a process of its own, the control parts of all sidecars in a few. Starts processes of its own
- * alone, bounded in number and time, and ends them when it is closed; they also end when this process does.
+ * A control tier on real sockets: each replica in a process of its own, the control parts of all sidecars in a few host
+ * processes. The number of processes and all waits are bounded. Only processes started here are stopped, on
+ * {@link #close}; they also exit when this process does.
  */
 public final class ControlRun implements AutoCloseable {
-    private static final int SIDECARS_A_HOST = 525;
-    private static final long POLL_MS = 10;
-    private static final long READY_MS = 60_000;
+    private static final int SIDECARS_PER_HOST = 525;
+    private static final long POLL_INTERVAL_MILLIS = 10;
+    private static final long START_TIMEOUT_MILLIS = 60_000;
 
     private final ControlFleet fleet;
-    private final List<HostProcess> replicas = new ArrayList<>();
-    private final List<HostProcess> sidecars = new ArrayList<>();
-    private int contents;
+    private final List<HostProcess> replicaHosts = new ArrayList<>();
+    private final List<HostProcess> sidecarHosts = new ArrayList<>();
+    private int proposals;
 
-    /** Starts all processes and tells each where the others are. */
+    /** Starts all processes and tells each the addresses of the others. */
     public ControlRun(ControlFleet fleet) throws IOException {
         if (fleet.sidecars() > ScaleRun.MAX_MEMBERS) {
-            throw new IllegalArgumentException(fleet.sidecars() + " sidecars, at most " + ScaleRun.MAX_MEMBERS);
+            throw new IllegalArgumentException(
+                    fleet.sidecars() + " sidecars, expected at most " + ScaleRun.MAX_MEMBERS);
         }
         this.fleet = fleet;
         try {
             for (int replica = 0; replica < fleet.replicas(); replica++) {
-                replicas.add(host(replica, replica + 1));
+                replicaHosts.add(startHost(replica, replica + 1));
             }
-            for (int first = fleet.replicas(); first < fleet.processes(); first += SIDECARS_A_HOST) {
-                sidecars.add(host(first, Math.min(fleet.processes(), first + SIDECARS_A_HOST)));
+            for (int first = fleet.replicas(); first < fleet.processes(); first += SIDECARS_PER_HOST) {
+                sidecarHosts.add(startHost(first, Math.min(fleet.processes(), first + SIDECARS_PER_HOST)));
             }
-            StringBuilder ports = new StringBuilder("peers");
-            all().forEach(host -> host.ports().forEach(port -> ports.append(' ').append(port)));
-            HostProcess.askAll(all(), ports.toString());
+            StringBuilder peersCommand = new StringBuilder("peers");
+            allHosts().forEach(host -> host.ports()
+                    .forEach(port -> peersCommand.append(' ').append(port)));
+            HostProcess.askAll(allHosts(), peersCommand.toString());
         } catch (IOException exception) {
             close();
             throw exception;
         }
     }
 
-    private HostProcess host(int first, int until) throws IOException {
+    private HostProcess startHost(int first, int until) throws IOException {
         return new HostProcess(ControlHost.class, fleet.arguments(), first, until);
     }
 
-    private List<HostProcess> all() {
-        List<HostProcess> all = new ArrayList<>(replicas);
-        all.addAll(sidecars);
+    private List<HostProcess> allHosts() {
+        List<HostProcess> all = new ArrayList<>(replicaHosts);
+        all.addAll(sidecarHosts);
         return all;
     }
 
     private HostProcess hostOf(int number) {
-        return all().stream().filter(host -> host.hosts(number)).findFirst().orElseThrow();
+        return allHosts().stream()
+                .filter(host -> host.hosts(number))
+                .findFirst()
+                .orElseThrow();
     }
 
-    /** The replicas begin at once; waits until all are sure of each scope, and returns the microseconds that took. */
+    /**
+     * Starts all replicas at once and waits until all are ready in each scope; returns the elapsed time in
+     * microseconds.
+     */
     public long startReplicas() throws IOException, InterruptedException {
-        return start(replicas, fleet.replicas());
+        return start(replicaHosts, fleet.replicas());
     }
 
-    /** All sidecars begin at once, remembering nothing; waits until all are sure, and returns the microseconds that took. */
+    /**
+     * Starts all sidecars at once, without memory, and waits until all are ready; returns the elapsed time in
+     * microseconds.
+     */
     public long startSidecars() throws IOException, InterruptedException {
-        return start(sidecars, fleet.sidecars());
+        return start(sidecarHosts, fleet.sidecars());
     }
 
-    private long start(List<HostProcess> hosts, int wanted) throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+    private long start(List<HostProcess> hosts, int expected) throws IOException, InterruptedException {
+        long startNanos = System.nanoTime();
         HostProcess.askAll(hosts, "start");
-        int sure = sure(hosts);
-        while (sure < wanted) {
-            if (System.nanoTime() - begun > READY_MS * 1_000_000) {
-                throw new IOException(sure + " of " + wanted + " are ready after " + READY_MS + " ms");
+        int ready = readyMembers(hosts);
+        while (ready < expected) {
+            if (System.nanoTime() - startNanos > START_TIMEOUT_MILLIS * 1_000_000) {
+                throw new IOException(
+                        ready + " of " + expected + " members are ready after " + START_TIMEOUT_MILLIS + " ms");
             }
-            Thread.sleep(POLL_MS);
-            sure = sure(hosts);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
+            ready = readyMembers(hosts);
         }
-        return (System.nanoTime() - begun) / 1_000;
+        return (System.nanoTime() - startNanos) / 1_000;
     }
 
-    private static int sure(List<HostProcess> hosts) throws IOException {
+    private static int readyMembers(List<HostProcess> hosts) throws IOException {
         return HostProcess.askAll(hosts, "sure").stream()
                 .mapToInt(Integer::parseInt)
                 .sum();
     }
 
-    /** What the replicas that vote have used since their start. */
+    /** Resources that the voting replicas have used since they were started. */
     public ResourceUsage voterUsage() throws IOException {
-        return HostProcess.usage(replicas.subList(0, fleet.voters()));
+        return HostProcess.usage(replicaHosts.subList(0, fleet.voters()));
     }
 
-    /** What all sidecars have used since their start. */
+    /** Resources that the sidecars' processes have used since they were started. */
     public ResourceUsage sidecarUsage() throws IOException {
-        return HostProcess.usage(sidecars);
+        return HostProcess.usage(sidecarHosts);
     }
 
-    /** Heap in use behind a collection in the sidecars' processes, kilobytes. */
+    /** Heap in use after a garbage collection in the sidecars' processes, in kilobytes. */
     public long sidecarHeapKilobytes() throws IOException {
-        return HostProcess.askAll(sidecars, "heap").stream()
+        return HostProcess.askAll(sidecarHosts, "heap").stream()
                 .mapToLong(Long::parseLong)
                 .sum();
     }
 
     /**
-     * Proposes new content of a scope at a replica and waits until all its subscribers but some go by it.
+     * Proposes a new content of a scope at a replica and waits until all its reachable subscribers have adopted it.
      *
-     * @param away   subscribers that can't be reached
-     * @param mostUs given up after so long
+     * @param unreachable number of subscribers that can't be reached
+     * @param timeoutMicros longest time to wait for the adoption
      */
-    public ScaleRun.Change change(int replica, int scope, int away, long mostUs)
+    public ScaleRun.Change change(int replica, int scope, int unreachable, long timeoutMicros)
             throws IOException, InterruptedException {
-        String content = "c" + contents++ + "-" + "x".repeat(120);
-        String begun = hostOf(replica).ask("propose " + replica + " " + scope + " " + content);
-        if (begun.startsWith("refused")) {
-            throw new IOException(begun);
+        String content = "c" + proposals++ + "-" + "x".repeat(120);
+        String proposed = hostOf(replica).ask("propose " + replica + " " + scope + " " + content);
+        if (proposed.startsWith("refused")) {
+            throw new IOException(proposed);
         }
-        long begunUs = Long.parseLong(begun);
-        int wanted = fleet.subscribers(scope) - away;
-        long until = System.nanoTime() + mostUs * 1_000;
+        long proposedAtMicros = Long.parseLong(proposed);
+        int expected = fleet.subscribers(scope) - unreachable;
+        long deadlineNanos = System.nanoTime() + timeoutMicros * 1_000;
         while (true) {
-            int reached = 0;
-            long lastUs = begunUs;
-            for (String answer : HostProcess.askAll(sidecars, "settled " + content)) {
+            int adopted = 0;
+            long lastMicros = proposedAtMicros;
+            for (String answer : HostProcess.askAll(sidecarHosts, "settled " + content)) {
                 String[] fields = answer.split(" ");
-                reached += Integer.parseInt(fields[0]);
-                lastUs = Math.max(lastUs, Long.parseLong(fields[1]));
+                adopted += Integer.parseInt(fields[0]);
+                lastMicros = Math.max(lastMicros, Long.parseLong(fields[1]));
             }
-            if (reached >= wanted || System.nanoTime() > until) {
-                return new ScaleRun.Change(reached, wanted, lastUs - begunUs);
+            if (adopted >= expected || System.nanoTime() > deadlineNanos) {
+                return new ScaleRun.Change(adopted, expected, lastMicros - proposedAtMicros);
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
-    /** A sidecar that subscribes to a scope; -1 where none does. */
+    /** The lowest-numbered sidecar that subscribes to a scope; -1 if none does. */
     public int subscriberOf(int scope) {
         for (int number = fleet.replicas(); number < fleet.processes(); number++) {
             if (fleet.scopesOf(number).contains(scope)) {
@@ -142,25 +155,25 @@
         return -1;
     }
 
-    /** The sidecar neither hears nor speaks any more. */
+    /** Makes a sidecar send nothing and ignore all datagrams until it is restarted. */
     public void silence(int sidecar) throws IOException {
         hostOf(sidecar).ask("silence " + sidecar);
     }
 
-    /** Another process in its place, which remembers nothing. */
+    /** Restarts a sidecar without memory. */
     public void restart(int sidecar) throws IOException {
         hostOf(sidecar).ask("restart " + sidecar);
     }
 
-    /** A replica's process ends at once; nobody comes in its place. */
+    /** Kills a replica's process, which is not replaced. */
     public void killReplica(int replica) {
         HostProcess killed = hostOf(replica);
-        replicas.remove(killed);
+        replicaHosts.remove(killed);
         killed.close();
     }
 
     @Override
     public void close() {
-        all().forEach(HostProcess::close);
+        allHosts().forEach(HostProcess::close);
     }
 }
--- a/src/main/java/loadbalancer/capacity/DatagramEndpoint.java
+++ b/src/main/java/loadbalancer/capacity/DatagramEndpoint.java
@@ -11,11 +11,14 @@
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import java.net.InetSocketAddress;
 
-/** The datagram socket of one hollow process, with the count of what goes over it. All but {@link #open} on the host's event loop. */
+/**
+ * The datagram socket of one member, which counts its traffic. Used on the host's event loop only, except
+ * {@link #open}.
+ */
 final class DatagramEndpoint {
-    /** Takes a datagram of a process by its number. */
+    /** Takes a datagram of a member, by its number. */
     interface Receiver {
-        void received(int from, byte[] datagram);
+        void receive(int from, byte[] datagram);
     }
 
     private final MemberDirectory directory;
@@ -29,7 +32,10 @@
         this.receiver = receiver;
     }
 
-    /** Opens it on any free port of loopback, which is returned. Not to be called on the loop. */
+    /**
+     * Binds the socket to any free loopback port and returns the port. Waits for the event loop, so it must not be
+     * called on it.
+     */
     int open(EventLoop loop) throws InterruptedException {
         channel = new Bootstrap()
                 .group(loop)
@@ -41,11 +47,11 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Sends to a process by its number; lost where nobody knows its address yet. */
+    /** Sends a datagram to a member, by its number; dropped if the member's address is not known yet. */
     void send(int to, byte[] datagram) {
         InetSocketAddress address = directory.address(to);
         if (address != null) {
-            traffic.sent(datagram.length);
+            traffic.countSent(datagram.length);
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), address));
         }
     }
@@ -56,12 +62,14 @@
             int from = directory.number(packet.sender());
             if (from >= 0) {
                 byte[] datagram = ByteBufUtil.getBytes(packet.content());
-                traffic.received(from, datagram.length);
-                receiver.received(from, datagram);
+                traffic.countReceived(from, datagram.length);
+                receiver.receive(from, datagram);
             }
         }
 
-        /** The network says of an earlier datagram that nobody was there: no reason to stop listening. */
+        /**
+         * Ignores errors, such as an ICMP "port unreachable" for an earlier datagram, so that the socket stays open.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
     }
--- a/src/main/java/loadbalancer/capacity/GossipLoad.java
+++ b/src/main/java/loadbalancer/capacity/GossipLoad.java
@@ -19,14 +19,15 @@
 import loadbalancer.gossip.InFlightGossip;
 
 /**
- * The load messages of one hollow sidecar: requests begin at random and end one service time later, and what is held is told as a real
- * sidecar tells it. There are as many upstreams as members. All on the host's event loop.
+ * Generates the gossip of one minimal sidecar: requests start at random times and end a fixed time later, and the
+ * requests in flight are gossiped as a real sidecar does. There are as many upstreams as members. Runs on the host's
+ * event loop.
  */
 final class GossipLoad {
-    /** A request is held for so long: a service and the way there and back. */
-    private static final long SERVICE_US = 40_000;
+    /** Time for which a request is in flight: the service time and the network round trip. */
+    private static final long REQUEST_DURATION_MICROS = 40_000;
 
-    private static final long SECOND_US = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -34,14 +35,18 @@
     private final SplittableRandom random;
     private final Settings settings;
     private final List<String> upstreams = new ArrayList<>();
-    /** Null where members are too many, or too few, to tell each other what they hold. */
-    private InFlightGossip holdings;
+    /** Null before {@link #start}, and if the fleet is too large or too small for gossip. */
+    private InFlightGossip gossip;
+
+    /** The upstreams that receive requests of this sidecar. */
+    private List<String> subset = List.of();
 
-    private List<String> chosen = List.of();
     private double requestsPerSecond;
     private long requests;
-    private boolean changed;
-    private ScheduledFuture<?> due;
+    /** Whether requests in flight have changed since the last message, so that one is scheduled. */
+    private boolean messagePending;
+
+    private ScheduledFuture<?> nextMessage;
 
     GossipLoad(int number, int members, EventLoop loop, Clock clock, long seed, BiConsumer<Integer, byte[]> sender) {
         this.loop = loop;
@@ -55,7 +60,7 @@
     }
 
     private static Settings settings(int number, int members) {
-        RequestClass only = new RequestClass(
+        RequestClass requestClass = new RequestClass(
                 "c", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 300_000, 0, 800_000, 1, 0, false);
         return new Settings(
                 number,
@@ -63,10 +68,10 @@
                 "z",
                 List.of("z"),
                 List.of("k"),
-                List.of(only),
+                List.of(requestClass),
                 List.of(),
-                new Limits(2, false, false, false, true, false, SECOND_US, SECOND_US, 0),
-                new Rules(500_000, 0.13, 24 * SECOND_US, 3, SECOND_US, 10 * SECOND_US, 5_000, 0),
+                new Limits(2, false, false, false, true, false, SECOND_MICROS, SECOND_MICROS, 0),
+                new Rules(500_000, 0.13, 24 * SECOND_MICROS, 3, SECOND_MICROS, 10 * SECOND_MICROS, 5_000, 0),
                 LoadReporting.IN_RESPONSES,
                 true,
                 false,
@@ -75,84 +80,84 @@
                 1_000);
     }
 
-    /** Requests begin from now on, so many a second on the average. */
-    void start(double perSecond) {
-        requestsPerSecond = perSecond;
-        holdings = InFlightGossip.forSettings(settings).orElse(null);
-        if (holdings != null) {
-            holdings.onEndpoints(upstreams);
-            chosen = upstreams.stream()
-                    .filter(upstream -> holdings.subsetRank(upstream) < holdings.subsetSize())
+    /** Generates requests from now on, at this average rate. */
+    void start(double averageRequestsPerSecond) {
+        requestsPerSecond = averageRequestsPerSecond;
+        gossip = InFlightGossip.forSettings(settings).orElse(null);
+        if (gossip != null) {
+            gossip.onEndpoints(upstreams);
+            subset = upstreams.stream()
+                    .filter(upstream -> gossip.subsetRank(upstream) < gossip.subsetSize())
                     .toList();
         }
-        if (chosen.isEmpty()) {
-            chosen = upstreams;
+        if (subset.isEmpty()) {
+            subset = upstreams;
         }
-        nextRequest();
+        scheduleRequest();
     }
 
     long requests() {
         return requests;
     }
 
-    private void nextRequest() {
-        double gapS = -Math.log(1 - random.nextDouble()) / requestsPerSecond;
-        loop.schedule(this::request, (long) (gapS * SECOND_US), TimeUnit.MICROSECONDS);
+    private void scheduleRequest() {
+        double delaySeconds = -Math.log(1 - random.nextDouble()) / requestsPerSecond;
+        loop.schedule(this::startRequest, (long) (delaySeconds * SECOND_MICROS), TimeUnit.MICROSECONDS);
     }
 
-    private void request() {
+    private void startRequest() {
         requests++;
-        nextRequest();
-        if (holdings != null) {
-            String upstream = chosen.get(random.nextInt(chosen.size()));
-            holdings.attemptStarted(upstream);
-            tellSoon();
-            loop.schedule(() -> ended(upstream), SERVICE_US, TimeUnit.MICROSECONDS);
+        scheduleRequest();
+        if (gossip != null) {
+            String upstream = subset.get(random.nextInt(subset.size()));
+            gossip.attemptStarted(upstream);
+            scheduleChangeMessage();
+            loop.schedule(() -> endRequest(upstream), REQUEST_DURATION_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
-    private void ended(String upstream) {
-        holdings.attemptEnded(upstream);
-        tellSoon();
+    private void endRequest(String upstream) {
+        gossip.attemptEnded(upstream);
+        scheduleChangeMessage();
     }
 
-    private void tellSoon() {
-        if (!changed) {
-            changed = true;
-            schedule(holdings.delayMicros(clock.nowMicros()));
+    private void scheduleChangeMessage() {
+        if (!messagePending) {
+            messagePending = true;
+            scheduleMessage(gossip.delayMicros(clock.nowMicros()));
         }
     }
 
-    private void schedule(long inUs) {
-        if (due != null) {
-            due.cancel(false);
+    private void scheduleMessage(long delayMicros) {
+        if (nextMessage != null) {
+            nextMessage.cancel(false);
         }
-        due = loop.schedule(this::tell, inUs, TimeUnit.MICROSECONDS);
+        nextMessage = loop.schedule(this::sendMessage, delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void tell() {
-        changed = false;
-        long now = clock.nowMicros();
-        int[] hearers = holdings.nextRecipients(now);
-        byte[] message = holdings.nextMessage(now);
-        if (hearers == null) {
+    private void sendMessage() {
+        messagePending = false;
+        long nowMicros = clock.nowMicros();
+        int[] recipients = gossip.nextRecipients(nowMicros);
+        byte[] message = gossip.nextMessage(nowMicros);
+        if (recipients == null) {
             for (int peer = 0; peer < settings.sidecarCount(); peer++) {
                 sender.accept(peer, message);
             }
         } else {
-            for (int peer : hearers) {
+            for (int peer : recipients) {
                 sender.accept(peer, message);
             }
         }
-        long againUs = holdings.refreshDelayMicros();
-        if (againUs > 0) {
-            schedule(againUs);
+        long refreshDelayMicros = gossip.refreshDelayMicros();
+        if (refreshDelayMicros > 0) {
+            scheduleMessage(refreshDelayMicros);
         }
     }
 
-    void heard(int peer, byte[] message) {
-        if (holdings != null && peer != settings.sidecarIndex()) {
-            holdings.receive(clock.nowMicros(), peer, message);
+    void receive(int peer, byte[] message) {
+        if (gossip != null && peer != settings.sidecarIndex()) {
+            gossip.receive(clock.nowMicros(), peer, message);
         }
     }
 }
--- a/src/main/java/loadbalancer/capacity/HostProcess.java
+++ b/src/main/java/loadbalancer/capacity/HostProcess.java
@@ -13,10 +13,10 @@
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
 
-/** A host of hollow members that this process has started. It ends when it is closed, and when this process dies. */
+/** A child process that hosts minimal members. Stopped by {@link #close}; exits by itself when this process ends. */
 final class HostProcess implements AutoCloseable {
-    private static final long MOST_WAIT_MS = 60_000;
-    private static final long POLL_NANOS = 200_000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 60_000;
+    private static final long POLL_INTERVAL_NANOS = 200_000;
 
     private final int first;
     private final int last;
@@ -25,7 +25,10 @@
     private final BufferedReader answers;
     private final List<Integer> ports;
 
-    /** Starts a {@link MinimalSidecarHost} with the members from {@code first} to before {@code until}; waits until their sockets are open. */
+    /**
+     * Starts a {@link MinimalSidecarHost} with the members from {@code first} to before {@code until} and waits until
+     * their sockets are open.
+     */
     HostProcess(ScaleFleet fleet, int first, int until) throws IOException {
         this(
                 MinimalSidecarHost.class,
@@ -33,13 +36,16 @@
                         fleet.name(),
                         String.valueOf(fleet.members()),
                         String.valueOf(fleet.voters()),
-                        String.valueOf(fleet.leaseUs() / 1_000),
+                        String.valueOf(fleet.leaseMicros() / 1_000),
                         String.valueOf(fleet.seed())),
                 first,
                 until);
     }
 
-    /** Starts a program whose last two arguments are the first number and the one behind the last. */
+    /**
+     * Starts a program with these arguments, followed by {@code first} and {@code until}, and waits for its line of
+     * ports.
+     */
     HostProcess(Class<?> program, List<String> arguments, int first, int until) throws IOException {
         this.first = first;
         last = until - 1;
@@ -62,14 +68,17 @@
                 .start();
         commands = new BufferedWriter(new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
         answers = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        ports = Arrays.stream(answer().trim().split(" ")).map(Integer::valueOf).toList();
+        ports = Arrays.stream(readAnswer().trim().split(" "))
+                .map(Integer::valueOf)
+                .toList();
     }
 
+    /** Ports of the members' sockets, ordered by member number. */
     List<Integer> ports() {
         return ports;
     }
 
-    int members() {
+    int memberCount() {
         return last - first + 1;
     }
 
@@ -77,52 +86,55 @@
         return member >= first && member <= last;
     }
 
-    /** Tells it a command, whose answer is read by {@link #answer}: so several hosts can work at once. */
-    void tell(String command) throws IOException {
+    /**
+     * Sends a command without waiting for the answer, so that several hosts can work at once; see {@link #readAnswer}.
+     */
+    void send(String command) throws IOException {
         commands.write(command);
         commands.newLine();
         commands.flush();
     }
 
-    /** @throws IOException where it has ended, or says nothing for {@link #MOST_WAIT_MS} */
-    String answer() throws IOException {
-        long until = System.nanoTime() + MOST_WAIT_MS * 1_000_000;
+    /** @throws IOException if the process has exited or does not answer within {@link #ANSWER_TIMEOUT_MILLIS} */
+    String readAnswer() throws IOException {
+        long deadlineNanos = System.nanoTime() + ANSWER_TIMEOUT_MILLIS * 1_000_000;
         while (!answers.ready() && process.isAlive()) {
-            if (System.nanoTime() > until) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IOException("the host of members " + first + " to " + last + " does not answer");
             }
-            LockSupport.parkNanos(POLL_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
         String line = answers.readLine();
         if (line == null) {
-            throw new IOException("the host of members " + first + " to " + last + " has ended");
+            throw new IOException("the host of members " + first + " to " + last + " has exited");
         }
         return line;
     }
 
+    /** Sends a command and waits for its answer. */
     String ask(String command) throws IOException {
-        tell(command);
-        return answer();
+        send(command);
+        return readAnswer();
     }
 
-    /** Tells all a command, so that they work at once; their answers in the same order. */
+    /** Sends a command to all hosts, which work at once, and returns their answers in the same order. */
     static List<String> askAll(List<HostProcess> hosts, String command) throws IOException {
         for (HostProcess host : hosts) {
-            host.tell(command);
+            host.send(command);
         }
         List<String> answers = new ArrayList<>();
         for (HostProcess host : hosts) {
-            answers.add(host.answer());
+            answers.add(host.readAnswer());
         }
         return answers;
     }
 
-    /** What some hosts together have used since their start. */
+    /** Sum of the resources that these hosts have used since they were started. */
     static ResourceUsage usage(List<HostProcess> hosts) throws IOException {
         ResourceUsage sum = null;
         for (HostProcess host : hosts) {
-            ResourceUsage one = ResourceUsage.parse(host.ask("usage"));
-            sum = sum == null ? one : sum.plus(one);
+            ResourceUsage usage = ResourceUsage.parse(host.ask("usage"));
+            sum = sum == null ? usage : sum.plus(usage);
         }
         return sum;
     }
--- a/src/main/java/loadbalancer/capacity/LinearFit.java
+++ b/src/main/java/loadbalancer/capacity/LinearFit.java
@@ -3,21 +3,25 @@
 import java.util.Locale;
 
 /**
- * A line through measured points by least squares, with what it leaves unexplained.
+ * A line fitted to measured points by least squares.
  *
  * @param intercept value at size 0
- * @param slope     growth with each unit of size
- * @param residual  the largest distance of a point from the line, as a part of the largest value; 0 where all are on it
+ * @param slope increase of the value per unit of size
+ * @param residual largest vertical distance of a point from the line, as a fraction of the largest absolute value; 0 if
+ *     all points are on it
  */
 public record LinearFit(double intercept, double slope, double residual) {
     /**
-     * @param x sizes, at least two of them different
-     * @param y a value for each
-     * @throws IllegalArgumentException where no line can be told from these points
+     * Fits a line to points.
+     *
+     * @param x sizes, of which at least two differ
+     * @param y the value at each size
+     * @throws IllegalArgumentException if these points determine no line
      */
     public static LinearFit of(double[] x, double[] y) {
         if (x.length != y.length || x.length < 2) {
-            throw new IllegalArgumentException(x.length + " sizes and " + y.length + " values make no line");
+            throw new IllegalArgumentException(
+                    x.length + " sizes and " + y.length + " values, expected as many values as sizes, at least 2");
         }
         double meanX = mean(x);
         double meanY = mean(y);
@@ -28,7 +32,7 @@
             variance += (x[i] - meanX) * (x[i] - meanX);
         }
         if (variance == 0) {
-            throw new IllegalArgumentException("all sizes are " + meanX + ": they make no line");
+            throw new IllegalArgumentException("all sizes are " + meanX + ", expected at least two different ones");
         }
         double slope = covariance / variance;
         double intercept = meanY - slope * meanX;
@@ -44,22 +48,22 @@
     }
 
     private static double residual(double[] x, double[] y, double intercept, double slope) {
-        double worst = 0;
-        double largest = 0;
+        double largestDistance = 0;
+        double largestValue = 0;
         for (int i = 0; i < x.length; i++) {
-            worst = Math.max(worst, Math.abs(y[i] - intercept - slope * x[i]));
-            largest = Math.max(largest, Math.abs(y[i]));
+            largestDistance = Math.max(largestDistance, Math.abs(y[i] - intercept - slope * x[i]));
+            largestValue = Math.max(largestValue, Math.abs(y[i]));
         }
-        return largest == 0 ? 0 : worst / largest;
+        return largestValue == 0 ? 0 : largestDistance / largestValue;
     }
 
-    /** What the line says at this size. */
+    /** The value of the line at a size. */
     public double valueAt(double size) {
         return intercept + slope * size;
     }
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%.4g + %.4g a member, residual %.3f", intercept, slope, residual);
+        return String.format(Locale.ROOT, "%.4g + %.4g per unit of size, residual %.3f", intercept, slope, residual);
     }
 }
--- a/src/main/java/loadbalancer/capacity/MemberDirectory.java
+++ b/src/main/java/loadbalancer/capacity/MemberDirectory.java
@@ -7,17 +7,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Where each member is, and which datagrams get through: a cut between groups of members and a loss are played where a datagram arrives.
- * A real sidecar speaks from an address of its own at a port that nobody knows before its first datagram. Owned by the host's event loop.
+ * Addresses of all members, and the simulated network faults: partitions and loss apply at the receiver. A real sidecar
+ * sends from an address of its own, at a port that is unknown until its first datagram. Used on the host's event loop
+ * only.
  */
 final class MemberDirectory {
     private final InetSocketAddress[] addresses;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    private final Map<InetAddress, Integer> real = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> numberByAddress = new HashMap<>();
+    private final Map<InetAddress, Integer> realSidecars = new HashMap<>();
     private final SplittableRandom random;
-    private double loss;
-    private int cutFrom;
-    private int cutUntil;
+    private double lossRate;
+    private int partitionFrom;
+    private int partitionUntil;
 
     MemberDirectory(int members, long seed) {
         addresses = new InetSocketAddress[members];
@@ -26,49 +27,52 @@
 
     void put(int number, InetSocketAddress address) {
         addresses[number] = address;
-        numbers.put(address, number);
+        numberByAddress.put(address, number);
     }
 
-    void putReal(int number, InetAddress address) {
-        real.put(address, number);
+    void putRealSidecar(int number, InetAddress address) {
+        realSidecars.put(address, number);
     }
 
-    /** Null where it is not known yet. */
+    /** The address of a member; null if it is not known yet. */
     InetSocketAddress address(int number) {
         return addresses[number];
     }
 
-    /** Whose datagram it is; -1 for a stranger's. */
+    /** The number of the member that sends from an address; -1 if it is none. */
     int number(InetSocketAddress sender) {
-        Integer number = numbers.get(sender);
+        Integer number = numberByAddress.get(sender);
         if (number != null) {
             return number;
         }
-        Integer known = real.get(sender.getAddress());
-        if (known == null) {
+        Integer realSidecar = realSidecars.get(sender.getAddress());
+        if (realSidecar == null) {
             return -1;
         }
-        put(known, sender);
-        return known;
+        put(realSidecar, sender);
+        return realSidecar;
     }
 
-    /** Members from {@code from} to before {@code until} and all others hear nothing of each other; equal numbers end the cut. */
-    void cut(int from, int until) {
-        cutFrom = from;
-        cutUntil = until;
+    /**
+     * Separates the members from {@code from} to before {@code until} from all others; equal numbers end the partition.
+     */
+    void partition(int from, int until) {
+        partitionFrom = from;
+        partitionUntil = until;
     }
 
-    /** The part of datagrams that is lost, from 0 to 1. */
-    void lose(double part) {
-        loss = part;
+    /** Sets the fraction of datagrams that is lost, from 0 to 1. */
+    void setLossRate(double newLossRate) {
+        lossRate = newLossRate;
     }
 
-    boolean passes(int from, int to) {
-        boolean apart = inside(from) != inside(to);
-        return !apart && (loss == 0 || random.nextDouble() >= loss);
+    /** Whether the next datagram between two members gets through; draws a loss at random. */
+    boolean isDelivered(int from, int to) {
+        boolean separated = isInPartition(from) != isInPartition(to);
+        return !separated && (lossRate == 0 || random.nextDouble() >= lossRate);
     }
 
-    private boolean inside(int number) {
-        return number >= cutFrom && number < cutUntil;
+    private boolean isInPartition(int number) {
+        return number >= partitionFrom && number < partitionUntil;
     }
 }
--- a/src/main/java/loadbalancer/capacity/MinimalControlMember.java
+++ b/src/main/java/loadbalancer/capacity/MinimalControlMember.java
@@ -11,22 +11,25 @@
 import loadbalancer.control.RendezvousOrder;
 import loadbalancer.core.Clock;
 
-/** One replica, or the control part of one sidecar, on a socket of its own. All on the host's event loop. */
+/** One control replica, or the control part of one sidecar, on a socket of its own. Runs on the host's event loop. */
 final class MinimalControlMember {
-    private static final long LEAST_LOOK_US = 1_000;
+    private static final long MIN_TICK_INTERVAL_MICROS = 1_000;
 
     private final int number;
     private final ControlFleet fleet;
     private final EventLoop loop;
     private final Clock clock;
     private final DatagramEndpoint socket;
-    private final SettledLog settled;
+    private final AdoptionLog adoptions;
     private final List<Integer> scopes;
+    /** The version that was adopted last, by scope. */
     private final Map<Integer, Long> versions = new HashMap<>();
+
     private ControlReplica replica;
     private ControlClient client;
     private boolean silent;
-    private int starts;
+    /** Grows with each start; ticks of an earlier one are dropped. 0 before the first start. */
+    private int incarnation;
 
     MinimalControlMember(
             int number,
@@ -35,43 +38,46 @@
             Clock clock,
             MemberDirectory directory,
             TrafficCounters traffic,
-            SettledLog settled) {
+            AdoptionLog adoptions) {
         this.number = number;
         this.fleet = fleet;
         this.loop = loop;
         this.clock = clock;
-        socket = new DatagramEndpoint(directory, traffic, this::received);
-        this.settled = settled;
+        socket = new DatagramEndpoint(directory, traffic, this::receive);
+        this.adoptions = adoptions;
         scopes = fleet.scopesOf(number);
     }
 
-    /** Opens its socket; it says nothing before {@link #start}. Not to be called on the loop. */
+    /**
+     * Opens the socket and returns its port; nothing is sent before {@link #start}. Must not be called on the event
+     * loop.
+     */
     int open() throws InterruptedException {
         return socket.open(loop);
     }
 
-    /** A new process: it remembers nothing. */
+    /** Starts a replica or client without memory, as a new process has none. */
     void start() {
-        starts++;
+        incarnation++;
         silent = false;
         versions.clear();
-        long seed = number * 1_000_003L + starts;
+        long seed = number * 1_000_003L + incarnation;
         if (number < fleet.replicas()) {
             replica = new ControlReplica(fleet.group(), number, seed, clock.nowMicros(), content -> null);
         } else {
             int[] order = RendezvousOrder.forSidecar(number, fleet.replicas());
             client = new ControlClient(fleet.group(), scopes, order, seed, clock.nowMicros(), content -> null);
         }
-        look(starts);
+        tick(incarnation);
     }
 
-    /** It neither hears nor says anything, as a machine that is gone. */
+    /** Sends nothing and ignores all datagrams until the next {@link #start}, as a lost machine does. */
     void silence() {
         silent = true;
     }
 
-    /** Whether it is sure of all its scopes. */
-    boolean sure() {
+    /** Whether this member has a valid lease on each of its scopes. */
+    boolean isReady() {
         if (replica != null) {
             return replica.isReady(clock.nowMicros());
         }
@@ -81,13 +87,13 @@
                         .leaseValid());
     }
 
-    /** Why it can't be proposed; null where it is on its way. */
+    /** Proposes a content; returns why it is rejected, or null if it is not. */
     String propose(int scope, byte[] content) {
         return replica.propose(scope, content, clock.nowMicros(), socket::send).orElse(null);
     }
 
-    private void look(int of) {
-        if (silent || of != starts) {
+    private void tick(int ofIncarnation) {
+        if (silent || ofIncarnation != incarnation) {
             return;
         }
         if (replica != null) {
@@ -95,35 +101,35 @@
         } else {
             client.tick(clock.nowMicros(), socket::send);
         }
-        observe();
-        long dueAt = replica != null ? replica.nextTickMicros() : client.nextTickMicros();
-        long delayUs = Math.max(LEAST_LOOK_US, dueAt - clock.nowMicros());
-        loop.schedule(() -> look(of), delayUs, TimeUnit.MICROSECONDS);
+        recordAdoptions();
+        long nextTickMicros = replica != null ? replica.nextTickMicros() : client.nextTickMicros();
+        long delayMicros = Math.max(MIN_TICK_INTERVAL_MICROS, nextTickMicros - clock.nowMicros());
+        loop.schedule(() -> tick(ofIncarnation), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void observe() {
+    private void recordAdoptions() {
         if (client == null) {
             return;
         }
         for (int scope : scopes) {
-            ActiveStage inForce = client.activeStage(scope, clock.nowMicros());
-            boolean alone = inForce.leaseValid() && !inForce.isJoint();
-            if (alone && versions.getOrDefault(scope, 0L) != inForce.newVersion()) {
-                versions.put(scope, inForce.newVersion());
-                settled.settled(inForce.newVersion(), clock.nowMicros());
+            ActiveStage active = client.activeStage(scope, clock.nowMicros());
+            boolean settled = active.leaseValid() && !active.isJoint();
+            if (settled && versions.getOrDefault(scope, 0L) != active.newVersion()) {
+                versions.put(scope, active.newVersion());
+                adoptions.recordAdoption(active.newVersion(), clock.nowMicros());
             }
         }
     }
 
-    private void received(int from, byte[] datagram) {
-        if (silent || starts == 0) {
+    private void receive(int from, byte[] datagram) {
+        if (silent || incarnation == 0) {
             return;
         }
         if (replica != null) {
             replica.receive(clock.nowMicros(), from, datagram, socket::send);
         } else {
             client.receive(clock.nowMicros(), from, datagram, socket::send);
-            observe();
+            recordAdoptions();
         }
     }
 }
--- a/src/main/java/loadbalancer/capacity/MinimalSidecar.java
+++ b/src/main/java/loadbalancer/capacity/MinimalSidecar.java
@@ -10,12 +10,12 @@
 import loadbalancer.gossip.InFlightGossip;
 
 /**
- * The control part of one sidecar on a socket of its own: it votes, holds a lease and takes changes of configuration as a real one does,
- * looks at the clock as often, and has no data path. All on the host's event loop.
+ * The control part of one sidecar, on a socket of its own: votes, holds a lease, adopts configuration changes and ticks
+ * as often as a real sidecar, but has no data path. Runs on the host's event loop.
  */
 final class MinimalSidecar {
-    /** As {@code sidecar.Policies} looks at the clock. */
-    private static final long MOST_LOOK_US = 50_000, LEAST_LOOK_US = 1_000;
+    /** The same bounds as in {@code sidecar.AgreedConfiguration}. */
+    private static final long MAX_TICK_INTERVAL_MICROS = 50_000, MIN_TICK_INTERVAL_MICROS = 1_000;
 
     private final int number;
     private final ScaleFleet fleet;
@@ -23,16 +23,17 @@
     private final Clock clock;
     private final MemberDirectory directory;
     private final DatagramEndpoint socket;
-    private final SettledLog settled;
-    /** Null before it is given any load. */
+    private final AdoptionLog adoptions;
+    /** Null before {@link #startRequests}. */
     private GossipLoad load;
 
     private ConsensusNode consensus;
-    private long lives;
+    private long incarnation;
     private boolean silent;
-    /** The next look at the clock; null while none is due. */
-    private ScheduledFuture<?> nextLook;
+    /** Null while no tick is scheduled. */
+    private ScheduledFuture<?> nextTick;
 
+    /** The version that was adopted last; 0 for none. */
     private long version;
 
     MinimalSidecar(
@@ -42,111 +43,118 @@
             Clock clock,
             MemberDirectory directory,
             TrafficCounters traffic,
-            SettledLog settled) {
+            AdoptionLog adoptions) {
         this.number = number;
         this.fleet = fleet;
         this.loop = loop;
         this.clock = clock;
         this.directory = directory;
-        socket = new DatagramEndpoint(directory, traffic, this::received);
-        this.settled = settled;
+        socket = new DatagramEndpoint(directory, traffic, this::receive);
+        this.adoptions = adoptions;
     }
 
-    /** Opens its socket; it says nothing before {@link #start}. Not to be called on the loop. */
+    /**
+     * Opens the socket and returns its port; nothing is sent before {@link #start}. Must not be called on the event
+     * loop.
+     */
     int open() throws InterruptedException {
         return socket.open(loop);
     }
 
-    /** A new process: it remembers nothing. */
+    /** Starts a consensus node without memory, as a new process has none. */
     void start() {
-        lives++;
+        incarnation++;
         silent = false;
         version = 0;
         consensus = new ConsensusNode(
                 ConsensusGroup.withoutSubscribers(
-                        fleet.name().hashCode(), fleet.voters(), fleet.members(), fleet.leaseUs()),
+                        fleet.name().hashCode(), fleet.voters(), fleet.members(), fleet.leaseMicros()),
                 number,
-                fleet.seed() + number * 1_000_003L + lives,
+                fleet.seed() + number * 1_000_003L + incarnation,
                 clock.nowMicros(),
                 content -> null);
-        look();
+        tick();
     }
 
-    /** It neither hears nor says anything, as a process that stands still; its sockets stay open. */
-    void silence(boolean now) {
-        silent = now;
-        if (!now) {
-            look();
+    /**
+     * Pauses the consensus and drops all received datagrams, as a stopped process with open sockets does, or ends that.
+     */
+    void setSilent(boolean newSilent) {
+        silent = newSilent;
+        if (!newSilent) {
+            tick();
         }
     }
 
-    /** Requests of its own begin, so many a second on the average, and it tells the others what it holds. */
-    void load(double perSecond) {
+    /** Generates requests from now on, at this average rate, and gossips those in flight. */
+    void startRequests(double requestsPerSecond) {
         load = new GossipLoad(number, fleet.members(), loop, clock, fleet.seed() + number, (to, message) -> {
             if (to != number) {
                 socket.send(to, message);
             }
         });
-        load.start(perSecond);
+        load.start(requestsPerSecond);
     }
 
-    /** Requests that have begun here. */
+    /** Number of requests started here. */
     long requests() {
         return load == null ? 0 : load.requests();
     }
 
-    /** Why it can't be proposed; null where it is on its way. */
+    /** Proposes a content; returns why it is rejected, or null if it is not. */
     String propose(byte[] content) {
-        String refusal =
+        String rejection =
                 consensus.propose(clock.nowMicros(), content, socket::send).orElse(null);
-        observe();
-        return refusal;
+        recordAdoptionAndScheduleTick();
+        return rejection;
     }
 
-    /** Whether it has heard what is in force, and is sure that it still is. */
-    boolean sure() {
+    /** Whether this member knows the active configuration and has a valid lease on it. */
+    boolean isReady() {
         return consensus != null
                 && !silent
                 && consensus.hasLearned()
                 && consensus.activeStage(clock.nowMicros()).leaseValid();
     }
 
-    private void look() {
-        if (nextLook != null) {
-            nextLook.cancel(false);
-            nextLook = null;
+    private void tick() {
+        if (nextTick != null) {
+            nextTick.cancel(false);
+            nextTick = null;
         }
         if (silent) {
             return;
         }
         consensus.tick(clock.nowMicros(), socket::send);
-        observe();
+        recordAdoptionAndScheduleTick();
     }
 
-    private void observe() {
-        ActiveStage inForce = consensus.activeStage(clock.nowMicros());
-        if (inForce.leaseValid() && !inForce.isJoint() && inForce.newVersion() != version) {
-            version = inForce.newVersion();
-            settled.settled(version, clock.nowMicros());
+    /** Records a newly adopted version, and schedules the next tick if none is scheduled. */
+    private void recordAdoptionAndScheduleTick() {
+        ActiveStage active = consensus.activeStage(clock.nowMicros());
+        if (active.leaseValid() && !active.isJoint() && active.newVersion() != version) {
+            version = active.newVersion();
+            adoptions.recordAdoption(version, clock.nowMicros());
         }
-        if (nextLook == null) {
-            long delayUs =
-                    Math.max(LEAST_LOOK_US, Math.min(MOST_LOOK_US, consensus.nextTickMicros() - clock.nowMicros()));
-            nextLook = loop.schedule(this::look, delayUs, TimeUnit.MICROSECONDS);
+        if (nextTick == null) {
+            long delayMicros = Math.max(
+                    MIN_TICK_INTERVAL_MICROS,
+                    Math.min(MAX_TICK_INTERVAL_MICROS, consensus.nextTickMicros() - clock.nowMicros()));
+            nextTick = loop.schedule(this::tick, delayMicros, TimeUnit.MICROSECONDS);
         }
     }
 
-    private void received(int from, byte[] message) {
-        if (silent || consensus == null || !directory.passes(from, number)) {
+    private void receive(int from, byte[] message) {
+        if (silent || consensus == null || !directory.isDelivered(from, number)) {
             return;
         }
         if (InFlightGossip.isMessage(message)) {
             if (load != null) {
-                load.heard(from, message);
+                load.receive(from, message);
             }
             return;
         }
         consensus.receive(clock.nowMicros(), from, message, socket::send);
-        observe();
+        recordAdoptionAndScheduleTick();
     }
 }
--- a/src/main/java/loadbalancer/capacity/MinimalSidecarHost.java
+++ b/src/main/java/loadbalancer/capacity/MinimalSidecarHost.java
@@ -17,24 +17,25 @@
 import loadbalancer.core.Clock;
 
 /**
- * A process that hosts hollow sidecars of consecutive numbers. It does what its standard input says, a command a line, answers each with one
- * line, and ends when that input ends: so it leaves nothing behind where whoever started it has died.
+ * A process that hosts minimal sidecars with consecutive numbers. Reads commands from standard input, one per line, and
+ * answers each with one line. Exits when its input ends, so that no host outlives the process that started it.
  *
- * <p>Arguments: name, members, voters, lease in milliseconds, seed, first number, number behind the last. The first line printed has the
- * ports of its members. Commands: {@code peers ENTRY...} (a port, or the address of a real sidecar), {@code start}, {@code usage},
- * {@code sure}, {@code propose NUMBER TEXT}, {@code settled TEXT}, {@code silence NUMBER 0|1}, {@code restart NUMBER},
- * {@code cut FROM UNTIL}, {@code lose PART},
- * {@code load REQUESTS_A_SECOND}, {@code requests},
- * {@code heap}, {@code from NUMBER}.
+ * <p>Arguments: fleet name, members, voters, lease in milliseconds, seed, first member number, and the number after the
+ * last. The first line printed has the ports of the hosted members. Commands: {@code peers ENTRY...} (a port, or the IP
+ * address of a real sidecar), {@code start}, {@code usage}, {@code sure} (answers how many members are ready),
+ * {@code propose NUMBER TEXT}, {@code settled TEXT} (answers how many adoptions of this content there were and when the
+ * last one was), {@code silence NUMBER 0|1}, {@code restart NUMBER}, {@code cut FROM UNTIL} (a partition; {@code UNTIL}
+ * is exclusive), {@code lose FRACTION}, {@code load REQUESTS_PER_SECOND}, {@code requests}, {@code heap},
+ * {@code from NUMBER} (answers how many datagrams were received from this member).
  */
 public final class MinimalSidecarHost {
-    private static final int ARGUMENTS = 7;
+    private static final int ARGUMENT_COUNT = 7;
 
     private final ScaleFleet fleet;
     private final EventLoop loop;
     private final MemberDirectory directory;
     private final TrafficCounters traffic = new TrafficCounters();
-    private final SettledLog settled = new SettledLog();
+    private final AdoptionLog adoptions = new AdoptionLog();
     private final Clock clock = new Clock();
     private final List<MinimalSidecar> sidecars = new ArrayList<>();
     private final int first;
@@ -45,14 +46,14 @@
         this.first = first;
         directory = new MemberDirectory(fleet.members(), fleet.seed() + first);
         for (int number = first; number < until; number++) {
-            sidecars.add(new MinimalSidecar(number, fleet, loop, clock, directory, traffic, settled));
+            sidecars.add(new MinimalSidecar(number, fleet, loop, clock, directory, traffic, adoptions));
         }
     }
 
-    /** Hosts sidecars until standard input ends. */
+    /** Hosts sidecars until standard input ends; see the class for the arguments. */
     public static void main(String[] args) throws Exception {
-        if (args.length != ARGUMENTS) {
-            System.err.println("expected " + ARGUMENTS + " arguments, found " + args.length);
+        if (args.length != ARGUMENT_COUNT) {
+            System.err.println("expected " + ARGUMENT_COUNT + " arguments, found " + args.length);
             System.exit(2);
         }
         ScaleFleet fleet = new ScaleFleet(
@@ -75,47 +76,48 @@
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line; (line = in.readLine()) != null; ) {
                 String command = line;
-                Callable<String> work = () -> answer(command.split(" "));
-                System.out.println(loop.submit(work).get());
+                Callable<String> task = () -> execute(command.split(" "));
+                System.out.println(loop.submit(task).get());
             }
         }
     }
 
-    private String answer(String[] words) throws IOException {
+    /** Executes a command, split at spaces, on the event loop, and returns its answer. */
+    private String execute(String[] words) throws IOException {
         switch (words[0]) {
-            case "peers" -> learn(words);
+            case "peers" -> setPeers(words);
             case "start" -> sidecars.forEach(MinimalSidecar::start);
             case "usage" -> {
                 return ResourceUsage.ofThisProcess(clock.nowMicros(), traffic).line();
             }
             case "sure" -> {
                 return String.valueOf(
-                        sidecars.stream().filter(MinimalSidecar::sure).count());
+                        sidecars.stream().filter(MinimalSidecar::isReady).count());
             }
             case "propose" -> {
-                String refusal = member(words[1]).propose(content(words[2]));
-                return refusal == null ? String.valueOf(clock.nowMicros()) : "refused " + refusal;
+                String rejection = member(words[1]).propose(content(words[2]));
+                return rejection == null ? String.valueOf(clock.nowMicros()) : "refused " + rejection;
             }
             case "settled" -> {
-                SettledLog.Progress progress = settled.of(ConsensusNode.versionOf(content(words[1])));
-                return progress.count() + " " + progress.lastUs();
+                AdoptionLog.Progress progress = adoptions.progress(ConsensusNode.versionOf(content(words[1])));
+                return progress.adoptions() + " " + progress.lastMicros();
             }
-            case "silence" -> member(words[1]).silence(words[2].equals("1"));
+            case "silence" -> member(words[1]).setSilent(words[2].equals("1"));
             case "restart" -> member(words[1]).start();
-            case "cut" -> directory.cut(Integer.parseInt(words[1]), Integer.parseInt(words[2]));
-            case "load" -> sidecars.forEach(sidecar -> sidecar.load(Double.parseDouble(words[1])));
+            case "cut" -> directory.partition(Integer.parseInt(words[1]), Integer.parseInt(words[2]));
+            case "load" -> sidecars.forEach(sidecar -> sidecar.startRequests(Double.parseDouble(words[1])));
             case "requests" -> {
                 return String.valueOf(
                         sidecars.stream().mapToLong(MinimalSidecar::requests).sum());
             }
             case "from" -> {
-                return String.valueOf(traffic.from(Integer.parseInt(words[1])));
+                return String.valueOf(traffic.datagramsFrom(Integer.parseInt(words[1])));
             }
             case "heap" -> {
-                return String.valueOf(ProcessMemory.heapKb());
+                return String.valueOf(ProcessMemory.heapKilobytes());
             }
-            case "lose" -> directory.lose(Double.parseDouble(words[1]));
-            default -> throw new IllegalArgumentException("no command '" + words[0] + "'");
+            case "lose" -> directory.setLossRate(Double.parseDouble(words[1]));
+            default -> throw new IllegalArgumentException("unknown command '" + words[0] + "'");
         }
         return "ok";
     }
@@ -128,10 +130,10 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private void learn(String[] words) throws UnknownHostException {
+    private void setPeers(String[] words) throws UnknownHostException {
         for (int i = 1; i < words.length; i++) {
             if (words[i].indexOf('.') >= 0) {
-                directory.putReal(i - 1, InetAddress.getByName(words[i]));
+                directory.putRealSidecar(i - 1, InetAddress.getByName(words[i]));
             } else {
                 directory.put(i - 1, new InetSocketAddress("127.0.0.1", Integer.parseInt(words[i])));
             }
--- a/src/main/java/loadbalancer/capacity/ProcessMemory.java
+++ b/src/main/java/loadbalancer/capacity/ProcessMemory.java
@@ -4,13 +4,15 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads the kernel's account of a process's memory (proc(5)). */
+/** Memory that a process uses: resident memory as the kernel reports it (proc(5)), and the Java heap. */
 public final class ProcessMemory {
     private static final String RESIDENT = "VmRSS:";
 
     private ProcessMemory() {}
 
-    /** Kilobytes; -1 where the system does not tell. {@code process}: its number, or {@code self}. */
+    /**
+     * Resident memory of a process, given by its id or {@code self}, in kilobytes; -1 if the system does not report it.
+     */
     public static long residentKilobytes(String process) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc", process, "status"))) {
             if (line.startsWith(RESIDENT)) {
@@ -21,8 +23,8 @@
         return -1;
     }
 
-    /** Heap of this process in use behind a collection, kilobytes. */
-    static long heapKb() {
+    /** Heap of this process in use after a garbage collection, in kilobytes. */
+    static long heapKilobytes() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
         return (runtime.totalMemory() - runtime.freeMemory()) / 1024;
--- a/src/main/java/loadbalancer/capacity/RecordedSlope.java
+++ b/src/main/java/loadbalancer/capacity/RecordedSlope.java
@@ -7,22 +7,22 @@
 import java.util.Map;
 
 /**
- * A figure's measured line, as {@code docs/capacity-slopes.csv} keeps it.
+ * The line fitted to a metric, as recorded in {@code docs/capacity-slopes.csv}.
  *
- * @param sizes at which it was measured
- * @param date  of the run
+ * @param sizes fleet sizes, list sizes or chain depths at which the metric was measured
+ * @param date day of the run, such as 2026-12-02
  */
 public record RecordedSlope(ScaleMetric metric, LinearFit fit, List<Integer> sizes, String date) {
-    /** First line of the file. */
+    /** The header line of the file. */
     public static final String HEADER = "figure,intercept,slope,residual,sizes,date";
 
-    private static final int FIELDS = 6;
+    private static final int FIELD_COUNT = 6;
 
-    /** As a line of the file. */
+    /** This slope as a line of the file. */
     public String csvLine() {
-        StringBuilder joined = new StringBuilder();
+        StringBuilder joinedSizes = new StringBuilder();
         for (int size : sizes) {
-            joined.append(joined.isEmpty() ? "" : " ").append(size);
+            joinedSizes.append(joinedSizes.isEmpty() ? "" : " ").append(size);
         }
         return String.format(
                 Locale.ROOT,
@@ -31,18 +31,18 @@
                 fit.intercept(),
                 fit.slope(),
                 fit.residual(),
-                joined,
+                joinedSizes,
                 date);
     }
 
     /**
      * Reads a whole file.
      *
-     * @throws IllegalArgumentException that names the line and the field at fault
+     * @throws IllegalArgumentException with the number of the invalid line
      */
     public static Map<ScaleMetric, RecordedSlope> read(List<String> lines) {
         if (lines.isEmpty() || !lines.get(0).equals(HEADER)) {
-            throw new IllegalArgumentException("line 1: '" + HEADER + "' wanted");
+            throw new IllegalArgumentException("line 1: expected '" + HEADER + "'");
         }
         Map<ScaleMetric, RecordedSlope> all = new EnumMap<>(ScaleMetric.class);
         for (int i = 1; i < lines.size(); i++) {
@@ -58,8 +58,8 @@
 
     private static RecordedSlope parse(String line) {
         String[] fields = line.split(",", -1);
-        if (fields.length != FIELDS) {
-            throw new IllegalArgumentException(fields.length + " fields, " + FIELDS + " wanted");
+        if (fields.length != FIELD_COUNT) {
+            throw new IllegalArgumentException(fields.length + " fields found, " + FIELD_COUNT + " expected");
         }
         List<Integer> sizes = new ArrayList<>();
         for (String size : fields[4].split(" ")) {
--- a/src/main/java/loadbalancer/capacity/ResourceUsage.java
+++ b/src/main/java/loadbalancer/capacity/ResourceUsage.java
@@ -5,13 +5,17 @@
 import loadbalancer.sidecar.CpuTime;
 
 /**
- * What one process has used since its start.
+ * Resources that one process, or several together, used since its start, or within an interval if computed by
+ * {@link #since}.
  *
- * @param timeMicros         when it was asked, Unix time in microseconds
- * @param cpuMillis        processor time, user and system
- * @param residentKilobytes   memory that is in the machine, kilobytes
- * @param openFileDescriptors  open descriptors
- * @param datagramsIn  datagrams received; with {@code datagramsOut}, {@code bytesIn} and {@code bytesOut} without headers
+ * @param timeMicros Unix time of the measurement, or the length of the interval, in microseconds
+ * @param cpuMillis user and system processor time
+ * @param residentKilobytes resident memory at the time of the measurement
+ * @param openFileDescriptors number at the time of the measurement; -1 if unknown
+ * @param datagramsIn number of datagrams received
+ * @param datagramsOut number of datagrams sent
+ * @param bytesIn bytes received, without headers
+ * @param bytesOut bytes sent, without headers
  */
 public record ResourceUsage(
         long timeMicros,
@@ -22,43 +26,48 @@
         long datagramsOut,
         long bytesIn,
         long bytesOut) {
-    private static final int FIELDS = 8;
+    private static final int FIELD_COUNT = 8;
 
-    /** What this process has used; {@code now} in Unix time, microseconds. */
-    static ResourceUsage ofThisProcess(long now, TrafficCounters traffic) throws IOException {
-        String[] open = new File("/proc/self/fd").list();
+    /** The usage of this process so far; {@code nowMicros} is Unix time. */
+    static ResourceUsage ofThisProcess(long nowMicros, TrafficCounters traffic) throws IOException {
+        String[] fileDescriptors = new File("/proc/self/fd").list();
         return new ResourceUsage(
-                now,
+                nowMicros,
                 CpuTime.usedMillis(),
                 ProcessMemory.residentKilobytes("self"),
-                open == null ? -1 : open.length,
+                fileDescriptors == null ? -1 : fileDescriptors.length,
                 traffic.datagramsIn(),
                 traffic.datagramsOut(),
                 traffic.bytesIn(),
                 traffic.bytesOut());
     }
 
-    /** As one line of fields apart by spaces. */
+    /** One line with all fields in order, separated by spaces. */
     String line() {
         return timeMicros + " " + cpuMillis + " " + residentKilobytes + " " + openFileDescriptors + " " + datagramsIn
                 + " " + datagramsOut + " " + bytesIn + " " + bytesOut;
     }
 
-    /** @throws IllegalArgumentException where the line is not what {@link #line} writes */
+    /**
+     * Reads a line that {@link #line} wrote.
+     *
+     * @throws IllegalArgumentException if the line has another number of fields or a field is no number
+     */
     static ResourceUsage parse(String line) {
         String[] fields = line.trim().split(" ");
-        if (fields.length != FIELDS) {
-            throw new IllegalArgumentException("usage of " + fields.length + " fields, " + FIELDS + " wanted: " + line);
+        if (fields.length != FIELD_COUNT) {
+            throw new IllegalArgumentException(
+                    "usage line with " + fields.length + " fields, expected " + FIELD_COUNT + ": " + line);
         }
-        long[] values = new long[FIELDS];
-        for (int i = 0; i < FIELDS; i++) {
+        long[] values = new long[FIELD_COUNT];
+        for (int i = 0; i < FIELD_COUNT; i++) {
             values[i] = Long.parseLong(fields[i]);
         }
         return new ResourceUsage(
                 values[0], values[1], values[2], (int) values[3], values[4], values[5], values[6], values[7]);
     }
 
-    /** What was used between an earlier moment and this one; memory and descriptors are those of this one. */
+    /** The usage from an earlier measurement to this one; memory and file descriptors are those of this one. */
     public ResourceUsage since(ResourceUsage earlier) {
         return new ResourceUsage(
                 timeMicros - earlier.timeMicros,
@@ -71,7 +80,7 @@
                 bytesOut - earlier.bytesOut);
     }
 
-    /** The use of two processes together, over the longer of their times. */
+    /** The sum of two usages, over the longer of their intervals. */
     ResourceUsage plus(ResourceUsage other) {
         return new ResourceUsage(
                 Math.max(timeMicros, other.timeMicros),
@@ -84,12 +93,12 @@
                 bytesOut + other.bytesOut);
     }
 
-    /** Parts of one core. */
+    /** Average number of cores used in the interval. */
     public double cores() {
         return cpuMillis * 1_000.0 / timeMicros;
     }
 
-    /** So much of a count in each second. */
+    /** The average rate of a count in the interval. */
     public double perSecond(long count) {
         return count * 1e6 / timeMicros;
     }
--- a/src/main/java/loadbalancer/capacity/Samples.java
+++ b/src/main/java/loadbalancer/capacity/Samples.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Values by figure and size, and the line through those of each figure. Not for several threads. */
+/** Measured values by metric and size, and the line fitted to those of each metric. Not thread-safe. */
 public final class Samples {
     private final Map<ScaleMetric, TreeMap<Integer, Double>> values = new EnumMap<>(ScaleMetric.class);
 
-    /** A value measured at this size; a later one of the same size takes its place. */
-    public void put(ScaleMetric figure, int size, double value) {
-        values.computeIfAbsent(figure, f -> new TreeMap<>()).put(size, value);
+    /** Adds a value measured at a size; replaces an earlier one of the same metric and size. */
+    public void put(ScaleMetric metric, int size, double value) {
+        values.computeIfAbsent(metric, key -> new TreeMap<>()).put(size, value);
     }
 
-    /** Of each figure that was measured at two sizes or more. */
+    /** Fits a line to each metric that was measured at two sizes or more; {@code date} is the day of the run. */
     public Map<ScaleMetric, RecordedSlope> slopes(String date) {
         Map<ScaleMetric, RecordedSlope> slopes = new EnumMap<>(ScaleMetric.class);
-        values.forEach((figure, bySize) -> {
+        values.forEach((metric, bySize) -> {
             if (bySize.size() > 1) {
                 slopes.put(
-                        figure,
+                        metric,
                         new RecordedSlope(
-                                figure, fit(bySize), bySize.keySet().stream().toList(), date));
+                                metric, fit(bySize), bySize.keySet().stream().toList(), date));
             }
         });
         return slopes;
@@ -30,8 +30,8 @@
     private static LinearFit fit(TreeMap<Integer, Double> bySize) {
         double[] sizes =
                 bySize.keySet().stream().mapToDouble(Integer::doubleValue).toArray();
-        double[] measured =
+        double[] measuredValues =
                 bySize.values().stream().mapToDouble(Double::doubleValue).toArray();
-        return LinearFit.of(sizes, measured);
+        return LinearFit.of(sizes, measuredValues);
     }
 }
--- a/src/main/java/loadbalancer/capacity/ScaleFleet.java
+++ b/src/main/java/loadbalancer/capacity/ScaleFleet.java
@@ -1,12 +1,13 @@
 package loadbalancer.capacity;
 
 /**
- * What all members of a scale run know of it.
+ * Configuration that all members of a scale run share.
  *
- * @param name    tells this fleet from others
- * @param members in all, real ones among them
- * @param voters  the first so many vote
- * @param leaseUs how long a member that hears nothing goes by what it heard, microseconds
- * @param seed    of all that is drawn
+ * @param name distinguishes this fleet's datagrams from those of others
+ * @param members number of all members, including a real sidecar
+ * @param voters number of voters; they have the lowest member numbers
+ * @param leaseMicros length of a lease, for which a member without contact to the voters may go on with its
+ *     configuration
+ * @param seed of all random numbers
  */
-record ScaleFleet(String name, int members, int voters, long leaseUs, long seed) {}
+record ScaleFleet(String name, int members, int voters, long leaseMicros, long seed) {}
--- a/src/main/java/loadbalancer/capacity/ScaleMetric.java
+++ b/src/main/java/loadbalancer/capacity/ScaleMetric.java
@@ -2,63 +2,83 @@
 
 import java.util.Locale;
 
-/** What a scale run measures at each size; the name under which it is recorded, and its unit. */
+/**
+ * Metrics of scale runs, each measured at several sizes. A constant's name is the key under which the metric is
+ * recorded; see {@link #key}.
+ */
 public enum ScaleMetric {
-    /** Datagrams in and out of one voter at rest. */
-    VOTER_DATAGRAMS("a second"),
-    /** Bytes in and out of one voter at rest, without headers. */
-    VOTER_BYTES("bytes a second"),
-    /** Processor time of one voter's process at rest. */
-    VOTER_CORES("parts of a core"),
-    /** Datagrams in and out of one member without a vote at rest. */
-    MEMBER_DATAGRAMS("a second"),
-    /** Bytes in and out of one member without a vote at rest, without headers. */
-    MEMBER_BYTES("bytes a second"),
-    /** Processor time of one member without a vote at rest. */
-    MEMBER_CORES("parts of a core"),
-    /** Heap of one member without a vote, with its part of the process that hosts it. */
+    /** Datagrams that one idle voter sends and receives. */
+    VOTER_DATAGRAMS("per second"),
+    /** Bytes that one idle voter sends and receives, without headers. */
+    VOTER_BYTES("bytes per second"),
+    /** Processor time of one idle voter's process. */
+    VOTER_CORES("cores"),
+    /** Datagrams that one idle member without a vote sends and receives. */
+    MEMBER_DATAGRAMS("per second"),
+    /** Bytes that one idle member without a vote sends and receives, without headers. */
+    MEMBER_BYTES("bytes per second"),
+    /** Processor time of one idle member without a vote. */
+    MEMBER_CORES("cores"),
+    /** Heap of one member without a vote, including its share of the host process. */
     MEMBER_HEAP("kilobytes"),
-    /** All begin at once: until the last knows what is in force. */
+    /** Time until the last member is ready after all were started at once. */
     START("milliseconds"),
-    /** A change, nobody away: until it is in force everywhere; the median of three. */
+    /** Time until all members have adopted a change, with no member unreachable; the median of three changes. */
     CHANGE("milliseconds"),
-    /** The same with one member away. */
+    /** Time until all reachable members have adopted a change, with one member unreachable. */
     CHANGE_ONE_AWAY("milliseconds"),
-    /** Load messages that a sidecar sends for each of its requests, at most 300 sidecars. */
-    LOAD_MESSAGES("for each request"),
-    /** Bytes of one load message, without headers. */
+    /**
+     * Gossip messages with requests in flight that a sidecar sends per request of its own; in fleets of at most 300
+     * sidecars.
+     */
+    LOAD_MESSAGES("per request"),
+    /** Size of one gossip message with requests in flight, without headers. */
     LOAD_BYTES("bytes"),
-    /** Memory of a real sidecar's process, by the upstreams on its list. */
+    /** Resident memory of a real sidecar's process; the size is the length of its endpoint list. */
     SIDECAR_RESIDENT("kilobytes"),
-    /** Processor time of a real sidecar without requests, by the upstreams on its list. */
-    SIDECAR_CORES("parts of a core"),
-    /** Time that sidecars add to a request over the bare chain, by its depth; the median. */
+    /** Processor time of a real sidecar without requests; the size is the length of its endpoint list. */
+    SIDECAR_CORES("cores"),
+    /** Median time that sidecars add to a request through a chain of services; the size is the depth of the chain. */
     CHAIN_ADDED("microseconds"),
-    /** The same, 99 in 100. */
+    /** 99th percentile of the time in {@link #CHAIN_ADDED}. */
     CHAIN_ADDED_P99("microseconds"),
-    /** Natural logarithm of the attempts at the last hop for each request at the first, while the last one fails, by depth. */
+    /**
+     * Natural logarithm of the attempts at the last hop per request at the first, while the last hop fails; the size is
+     * the depth of the chain.
+     */
     CHAIN_ATTEMPTS_LOG("logarithm"),
-    /** Datagrams in and out of one voting replica of the control tier at rest, by sidecars. */
-    REPLICA_DATAGRAMS("a second"),
-    /** Bytes in and out of one voting replica at rest, without headers. */
-    REPLICA_BYTES("bytes a second"),
-    /** Processor time of one voting replica's process at rest. */
-    REPLICA_CORES("parts of a core"),
-    /** Datagrams in and out of one sidecar that subscribes to four scopes, at rest. */
-    SUBSCRIBER_DATAGRAMS("a second"),
-    /** Bytes in and out of one such sidecar at rest, without headers. */
-    SUBSCRIBER_BYTES("bytes a second"),
-    /** Processor time of one such sidecar at rest. */
-    SUBSCRIBER_CORES("parts of a core"),
-    /** Heap of one such sidecar, with its part of the process that hosts it. */
+    /**
+     * Datagrams that one idle voting replica of the control tier sends and receives; the size is the number of
+     * sidecars.
+     */
+    REPLICA_DATAGRAMS("per second"),
+    /** Bytes that one idle voting replica sends and receives, without headers. */
+    REPLICA_BYTES("bytes per second"),
+    /** Processor time of one idle voting replica's process. */
+    REPLICA_CORES("cores"),
+    /** Datagrams that one idle sidecar with subscriptions to four scopes sends and receives. */
+    SUBSCRIBER_DATAGRAMS("per second"),
+    /** Bytes that one such sidecar sends and receives, without headers. */
+    SUBSCRIBER_BYTES("bytes per second"),
+    /** Processor time of one such sidecar. */
+    SUBSCRIBER_CORES("cores"),
+    /** Heap of one such sidecar, including its share of the host process. */
     SUBSCRIBER_HEAP("kilobytes"),
-    /** All sidecars begin at once while the replicas serve: until the last is sure of its scopes. */
+    /**
+     * Time until the last sidecar has a valid lease on each of its scopes after all were started at once, with the
+     * replicas running.
+     */
     CONTROL_START("milliseconds"),
-    /** A change of one scope, nobody away: until it is in force at all its subscribers; the worst of those made. */
+    /**
+     * Time until all subscribers of a scope have adopted a change, with none unreachable; the maximum of several
+     * changes.
+     */
     CONTROL_CHANGE("milliseconds"),
-    /** The same with one subscriber away since just before. */
+    /**
+     * Time until all reachable subscribers have adopted a change, with one subscriber unreachable since just before it.
+     */
     CONTROL_CHANGE_ONE_AWAY("milliseconds"),
-    /** A second change of the same scope right behind that. */
+    /** Time for a second change of the same scope, immediately after {@link #CONTROL_CHANGE_ONE_AWAY}. */
     CONTROL_SECOND_CHANGE("milliseconds");
 
     private final String unit;
@@ -67,17 +87,21 @@
         this.unit = unit;
     }
 
-    /** In which it is given. */
+    /** The unit of the values, for output. */
     public String unit() {
         return unit;
     }
 
-    /** As files and pages have it. */
+    /** The name in files and documentation, such as {@code voter-bytes}. */
     public String key() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** @throws IllegalArgumentException where no figure has that name */
+    /**
+     * The metric with a {@link #key}.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
     public static ScaleMetric of(String key) {
         return valueOf(key.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
--- a/src/main/java/loadbalancer/capacity/ScaleRun.java
+++ b/src/main/java/loadbalancer/capacity/ScaleRun.java
@@ -6,244 +6,256 @@
 import java.util.function.IntPredicate;
 
 /**
- * A fleet of hollow sidecars on real sockets: each voter in a process of its own, all others in a few processes. Starts processes of its own
- * alone, bounded in number and time, and ends them when it is closed; they also end when this process does.
+ * A fleet of minimal sidecars on real sockets: each voter in a process of its own, all others in a few host processes.
+ * The number of processes and all waits are bounded. Only processes started here are stopped, on {@link #close}; they
+ * also exit when this process does.
  */
 public final class ScaleRun implements AutoCloseable {
-    /** Members that may take part: the target of docs/CAPACITY.md. */
+    /** Size of the largest fleet, the target of docs/CAPACITY.md. */
     public static final int MAX_MEMBERS = 2_100;
 
-    private static final int MEMBERS_A_HOST = 525;
-    private static final long POLL_MS = 10;
-    private static final long READY_MS = 60_000;
+    private static final int MEMBERS_PER_HOST = 525;
+    private static final long POLL_INTERVAL_MILLIS = 10;
+    private static final long START_TIMEOUT_MILLIS = 60_000;
 
     /**
-     * What a role used in a window, all its processes together.
+     * Resources that all processes of a role used within an interval.
      *
-     * @param members how many of the role there are
+     * @param members number of members with this role
      */
     public record RoleUsage(int members, ResourceUsage usage) {
-        /** Parts of a core of one member. */
+        /** Cores used by one member on average. */
         public double coresPerMember() {
             return usage.cores() / members;
         }
 
-        /** Datagrams a second that one member sends and receives. */
+        /** Datagrams per second that one member sends and receives on average. */
         public double datagramsPerSecond() {
             return usage.perSecond(usage.datagramsIn() + usage.datagramsOut()) / members;
         }
 
-        /** Bytes of content a second that one member sends and receives. */
+        /** Bytes per second, without headers, that one member sends and receives on average. */
         public double bytesPerSecond() {
             return usage.perSecond(usage.bytesIn() + usage.bytesOut()) / members;
         }
     }
 
     /**
-     * What a change of configuration came to.
+     * Outcome of a configuration change.
      *
-     * @param adoptedMembers members that came to go by it
-     * @param expectedMembers members that could be reached
-     * @param elapsedMicros until the last of those that came to it, microseconds
+     * @param adoptedMembers number of members that have adopted it
+     * @param expectedMembers number of reachable members, which have to adopt it
+     * @param elapsedMicros time from the proposal to the last adoption
      */
     public record Change(int adoptedMembers, int expectedMembers, long elapsedMicros) {
-        /** Whether all that could be reached go by it. */
+        /** Whether all reachable members have adopted the change. */
         public boolean isComplete() {
             return adoptedMembers >= expectedMembers;
         }
     }
 
     private final ScaleFleet fleet;
-    private final List<HostProcess> voters = new ArrayList<>();
-    private final List<HostProcess> others = new ArrayList<>();
-    private int contents;
+    private final List<HostProcess> voterHosts = new ArrayList<>();
+    private final List<HostProcess> nonVoterHosts = new ArrayList<>();
+    private int proposals;
 
     /**
-     * Starts all processes and tells each where the others are.
+     * Starts all processes and tells each the addresses of the others.
      *
-     * @param members   hollow sidecars in all, {@code voters} among them
-     * @param leaseUs   microseconds
+     * @param members number of minimal sidecars, including the {@code voters}
+     * @param leaseMicros length of a lease
      */
-    public ScaleRun(int members, int voters, long leaseUs, long seed) throws IOException {
-        this(members, voters, leaseUs, seed, "");
+    public ScaleRun(int members, int voters, long leaseMicros, long seed) throws IOException {
+        this(members, voters, leaseMicros, seed, "");
     }
 
-    /** {@code real}: the address that a real sidecar, the last member, speaks from; empty for none. */
-    ScaleRun(int members, int voters, long leaseUs, long seed, String real) throws IOException {
+    /**
+     * @param realSidecar IP address from which a real sidecar, the last member, sends; empty if all members are minimal
+     */
+    ScaleRun(int members, int voters, long leaseMicros, long seed, String realSidecar) throws IOException {
         if (members > MAX_MEMBERS || members < voters + 1) {
-            throw new IllegalArgumentException(members + " members, from " + (voters + 1) + " to " + MAX_MEMBERS);
+            throw new IllegalArgumentException(members + " members, expected " + (voters + 1) + " to " + MAX_MEMBERS);
         }
-        fleet = new ScaleFleet("scale", members, voters, leaseUs, seed);
-        int hollow = real.isEmpty() ? members : members - 1;
+        fleet = new ScaleFleet("scale", members, voters, leaseMicros, seed);
+        int minimalMembers = realSidecar.isEmpty() ? members : members - 1;
         try {
             for (int voter = 0; voter < voters; voter++) {
-                this.voters.add(new HostProcess(fleet, voter, voter + 1));
+                voterHosts.add(new HostProcess(fleet, voter, voter + 1));
             }
-            for (int first = voters; first < hollow; first += MEMBERS_A_HOST) {
-                others.add(new HostProcess(fleet, first, Math.min(hollow, first + MEMBERS_A_HOST)));
+            for (int first = voters; first < minimalMembers; first += MEMBERS_PER_HOST) {
+                nonVoterHosts.add(new HostProcess(fleet, first, Math.min(minimalMembers, first + MEMBERS_PER_HOST)));
             }
-            askAll("peers" + entries() + (real.isEmpty() ? "" : " " + real));
+            askAll("peers" + portArguments() + (realSidecar.isEmpty() ? "" : " " + realSidecar));
         } catch (IOException exception) {
             close();
             throw exception;
         }
     }
 
-    private String entries() {
-        StringBuilder entries = new StringBuilder();
-        for (HostProcess host : all()) {
-            host.ports().forEach(port -> entries.append(' ').append(port));
+    private String portArguments() {
+        StringBuilder arguments = new StringBuilder();
+        for (HostProcess host : allHosts()) {
+            host.ports().forEach(port -> arguments.append(' ').append(port));
         }
-        return entries.toString();
+        return arguments.toString();
     }
 
-    /** Addresses of all hollow members in the order of their numbers. */
+    /** Addresses of all minimal sidecars, ordered by member number. */
     List<String> addresses() {
-        return all().stream()
+        return allHosts().stream()
                 .flatMap(host -> host.ports().stream())
                 .map(port -> "127.0.0.1:" + port)
                 .toList();
     }
 
-    private List<HostProcess> all() {
-        List<HostProcess> all = new ArrayList<>(voters);
-        all.addAll(others);
+    private List<HostProcess> allHosts() {
+        List<HostProcess> all = new ArrayList<>(voterHosts);
+        all.addAll(nonVoterHosts);
         return all;
     }
 
     private HostProcess hostOf(int member) {
-        return all().stream().filter(host -> host.hosts(member)).findFirst().orElseThrow();
+        return allHosts().stream()
+                .filter(host -> host.hosts(member))
+                .findFirst()
+                .orElseThrow();
     }
 
     private List<String> askAll(String command) throws IOException {
-        return HostProcess.askAll(all(), command);
+        return HostProcess.askAll(allHosts(), command);
     }
 
-    /** All members begin at once, remembering nothing; waits until all are sure of what is in force, and returns the microseconds that took. */
+    /**
+     * Starts all members at once, without memory, and waits until all are ready; returns the elapsed time in
+     * microseconds.
+     */
     public long start() throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         askAll("start");
-        int wanted = all().stream().mapToInt(HostProcess::members).sum();
-        while (readyMembers() < wanted) {
-            if (System.nanoTime() - begun > READY_MS * 1_000_000) {
-                throw new IOException(
-                        readyMembers() + " of " + wanted + " members are ready after " + READY_MS + " ms");
+        int expected = allHosts().stream().mapToInt(HostProcess::memberCount).sum();
+        while (readyMembers() < expected) {
+            if (System.nanoTime() - startNanos > START_TIMEOUT_MILLIS * 1_000_000) {
+                throw new IOException(readyMembers() + " of " + expected + " members are ready after "
+                        + START_TIMEOUT_MILLIS + " ms");
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        return (System.nanoTime() - begun) / 1_000;
+        return (System.nanoTime() - startNanos) / 1_000;
     }
 
-    /** Members that are sure of what is in force. */
+    /** Number of members that know the active configuration and have a valid lease on it. */
     public int readyMembers() throws IOException {
         return askAll("sure").stream().mapToInt(Integer::parseInt).sum();
     }
 
-    /** What all voters have used since their start. */
+    /** Resources that the voters' processes have used since they were started. */
     public ResourceUsage voterUsage() throws IOException {
-        return HostProcess.usage(voters);
+        return HostProcess.usage(voterHosts);
     }
 
-    /** What all members without a vote have used since their start. */
+    /** Resources that the processes of members without a vote have used since they were started. */
     public ResourceUsage nonVoterUsage() throws IOException {
-        return HostProcess.usage(others);
+        return HostProcess.usage(nonVoterHosts);
     }
 
-    /** Each member has requests of its own from now on and tells the others what it holds. */
+    /** Makes each member generate requests from now on and gossip its requests in flight. */
     public void startRequests(double requestsPerSecond) throws IOException {
         askAll("load " + requestsPerSecond);
     }
 
-    /** Requests that have begun so far, of all members together. */
+    /** Number of requests that all members have started so far. */
     public long requests() throws IOException {
         return askAll("requests").stream().mapToLong(Long::parseLong).sum();
     }
 
-    /** Datagrams that all hollow members together have received from this one. */
+    /** Number of datagrams that all minimal sidecars have received from a member. */
     long datagramsFrom(int member) throws IOException {
         return askAll("from " + member).stream().mapToLong(Long::parseLong).sum();
     }
 
-    /** Heap in use behind a collection in the processes of members without a vote, kilobytes. */
+    /** Heap in use after a garbage collection in the processes of members without a vote, in kilobytes. */
     public long nonVoterHeapKilobytes() throws IOException {
         long sum = 0;
-        for (HostProcess host : others) {
+        for (HostProcess host : nonVoterHosts) {
             sum += Long.parseLong(host.ask("heap"));
         }
         return sum;
     }
 
-    /** Hollow members without a vote. */
+    /** Number of minimal sidecars without a vote. */
     public int nonVoterCount() {
-        return others.stream().mapToInt(HostProcess::members).sum();
+        return nonVoterHosts.stream().mapToInt(HostProcess::memberCount).sum();
     }
 
     /**
-     * Proposes new content at a member and waits until all that can be reached go by it.
+     * Proposes a new content at a member and waits until all reachable members have adopted it.
      *
-     * @param reachable members that have to come to it, by number
-     * @param mostUs    given up after so long
+     * @param reachable members that are expected to adopt it, by number
+     * @param timeoutMicros longest time to wait for their adoption
      */
-    public Change change(int proposer, IntPredicate reachable, long mostUs) throws IOException, InterruptedException {
-        String content = "c" + contents++ + "-" + "x".repeat(120);
-        String begun = hostOf(proposer).ask("propose " + proposer + " " + content);
-        if (begun.startsWith("refused")) {
-            throw new IOException(begun);
+    public Change change(int proposer, IntPredicate reachable, long timeoutMicros)
+            throws IOException, InterruptedException {
+        String content = "c" + proposals++ + "-" + "x".repeat(120);
+        String answer = hostOf(proposer).ask("propose " + proposer + " " + content);
+        if (answer.startsWith("refused")) {
+            throw new IOException(answer);
         }
-        return await(content, Long.parseLong(begun), reachable, mostUs);
+        return awaitAdoption(content, Long.parseLong(answer), reachable, timeoutMicros);
     }
 
-    private Change await(String content, long begunUs, IntPredicate reachable, long mostUs)
+    private Change awaitAdoption(String content, long proposedAtMicros, IntPredicate reachable, long timeoutMicros)
             throws IOException, InterruptedException {
-        int wanted = 0;
+        int expected = 0;
         for (int member = 0; member < fleet.members(); member++) {
-            wanted += reachable.test(member) ? 1 : 0;
+            expected += reachable.test(member) ? 1 : 0;
         }
-        long until = System.nanoTime() + mostUs * 1_000;
+        long deadlineNanos = System.nanoTime() + timeoutMicros * 1_000;
         while (true) {
-            int reached = 0;
-            long lastUs = begunUs;
+            int adopted = 0;
+            long lastMicros = proposedAtMicros;
             for (String answer : askAll("settled " + content)) {
                 String[] fields = answer.split(" ");
-                reached += Integer.parseInt(fields[0]);
-                lastUs = Math.max(lastUs, Long.parseLong(fields[1]));
+                adopted += Integer.parseInt(fields[0]);
+                lastMicros = Math.max(lastMicros, Long.parseLong(fields[1]));
             }
-            if (reached >= wanted || System.nanoTime() > until) {
-                return new Change(reached, wanted, lastUs - begunUs);
+            if (adopted >= expected || System.nanoTime() > deadlineNanos) {
+                return new Change(adopted, expected, lastMicros - proposedAtMicros);
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
-    /** The member neither hears nor speaks, or it does again. */
+    /** Pauses the consensus of a member and drops all datagrams to it, or ends that. */
     public void setSilent(int member, boolean silent) throws IOException {
         hostOf(member).ask("silence " + member + " " + (silent ? 1 : 0));
     }
 
-    /** Another process in its place, which remembers nothing. */
+    /** Restarts a member without memory. */
     public void restart(int member) throws IOException {
         hostOf(member).ask("restart " + member);
     }
 
-    /** Members from {@code from} to before {@code until} and the others hear nothing of each other; equal numbers end it. */
+    /**
+     * Separates the members from {@code from} to before {@code until} from all others; equal numbers end the partition.
+     */
     public void partition(int from, int until) throws IOException {
         askAll("cut " + from + " " + until);
     }
 
-    /** A part of all datagrams is lost from now on. */
+    /** Sets the fraction of all datagrams that is lost from now on. */
     public void setLossRate(double lossRate) throws IOException {
         askAll("lose " + lossRate);
     }
 
-    /** The voter's process ends at once; nobody comes in its place. */
+    /** Kills a voter's process, which is not replaced. */
     public void killVoter(int voter) {
         HostProcess killed = hostOf(voter);
-        voters.remove(killed);
+        voterHosts.remove(killed);
         killed.close();
     }
 
     @Override
     public void close() {
-        all().forEach(HostProcess::close);
+        allHosts().forEach(HostProcess::close);
     }
 }
--- a/src/main/java/loadbalancer/capacity/TrafficCounters.java
+++ b/src/main/java/loadbalancer/capacity/TrafficCounters.java
@@ -3,27 +3,29 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Datagrams and bytes of content that one host process has sent and received. Owned by the host's event loop. */
+/**
+ * Datagrams sent and received by one host process, and their bytes without headers. Used on the host's event loop only.
+ */
 final class TrafficCounters {
     private long datagramsIn;
     private long datagramsOut;
     private long bytesIn;
     private long bytesOut;
-    /** Datagrams by the number of their sender: no more entries than members. */
-    private final Map<Integer, Long> bySender = new HashMap<>();
+    /** Datagrams received, by the number of the sending member. */
+    private final Map<Integer, Long> datagramsBySender = new HashMap<>();
 
-    void received(int from, int bytes) {
+    void countReceived(int from, int bytes) {
         datagramsIn++;
         bytesIn += bytes;
-        bySender.merge(from, 1L, Long::sum);
+        datagramsBySender.merge(from, 1L, Long::sum);
     }
 
-    /** Datagrams received from this member. */
-    long from(int member) {
-        return bySender.getOrDefault(member, 0L);
+    /** Datagrams received from a member. */
+    long datagramsFrom(int member) {
+        return datagramsBySender.getOrDefault(member, 0L);
     }
 
-    void sent(int bytes) {
+    void countSent(int bytes) {
         datagramsOut++;
         bytesOut += bytes;
     }
--- a/src/test/java/loadbalancer/capacity/CapacityPageTest.java
+++ b/src/test/java/loadbalancer/capacity/CapacityPageTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The page's table is made of the recorded slopes, so that neither can change without the other. */
+/** The table in docs/CAPACITY.md is generated from the recorded slopes, so neither may change without the other. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
     private static final Path SLOPES = Path.of("docs/capacity-slopes.csv");
@@ -20,7 +20,7 @@
     private static final String END = "<!-- end of the table -->";
 
     @Test
-    void thePageHasTheTableThatTheRecordedSlopesMake() throws IOException {
+    void pageHasTheTableGeneratedFromTheRecordedSlopes() throws IOException {
         Map<ScaleMetric, RecordedSlope> slopes = RecordedSlope.read(Files.readAllLines(SLOPES));
         String page = Files.readString(PAGE);
         int begin = page.indexOf(BEGIN);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void eachRecordedSlopeHasFourSizesOrSaysFewerAndItsResidual() throws IOException {
+    void everyMetricHasARecordedSlopeWithThreeSizesADateAndAResidual() throws IOException {
         Map<ScaleMetric, RecordedSlope> slopes = RecordedSlope.read(Files.readAllLines(SLOPES));
         assertEquals(ScaleMetric.values().length, slopes.size());
         for (RecordedSlope slope : slopes.values()) {
@@ -41,18 +41,19 @@
     }
 
     @Test
-    void aRowOverItsBudgetIsNamedAndOneWithinIsNot() {
+    void onlyRowsOverBudgetAreReported() {
         Map<ScaleMetric, RecordedSlope> slopes = new EnumMap<>(ScaleMetric.class);
         slopes.put(ScaleMetric.CHANGE, slope(ScaleMetric.CHANGE, 100, 1));
         slopes.put(ScaleMetric.CHANGE_ONE_AWAY, slope(ScaleMetric.CHANGE_ONE_AWAY, 5_000, 0));
-        List<String> over = CapacityTable.overBudget(slopes);
+        List<String> overBudget = CapacityTable.overBudget(slopes);
         assertTrue(
-                over.contains("all sidecars, a second change right behind it: 1.11 times its budget"), over::toString);
-        assertTrue(over.stream().noneMatch(row -> row.contains("nobody away")), over::toString);
+                overBudget.contains("all sidecars, a second change right behind it: 1.11 times its budget"),
+                overBudget::toString);
+        assertTrue(overBudget.stream().noneMatch(row -> row.contains("nobody away")), overBudget::toString);
     }
 
     @Test
-    void aLineOfTheFileIsReadAsItWasWritten() {
+    void writtenLineIsReadBackUnchanged() {
         RecordedSlope written = slope(ScaleMetric.VOTER_BYTES, 12.5, 92.25);
         assertEquals(
                 Map.of(ScaleMetric.VOTER_BYTES, written),
@@ -60,18 +61,18 @@
     }
 
     @Test
-    void aWrongLineIsNamed() {
-        List<String> unknown = List.of(RecordedSlope.HEADER, "no-figure,1,2,0,1 2,2026-12-02");
-        String message = assertThrows(IllegalArgumentException.class, () -> RecordedSlope.read(unknown))
+    void errorNamesTheInvalidLine() {
+        List<String> unknownMetric = List.of(RecordedSlope.HEADER, "no-figure,1,2,0,1 2,2026-12-02");
+        String message = assertThrows(IllegalArgumentException.class, () -> RecordedSlope.read(unknownMetric))
                 .getMessage();
         assertTrue(message.startsWith("line 2"), message);
-        List<String> cut = List.of(RecordedSlope.HEADER, "change,1,2");
-        assertThrows(IllegalArgumentException.class, () -> RecordedSlope.read(cut));
+        List<String> truncated = List.of(RecordedSlope.HEADER, "change,1,2");
+        assertThrows(IllegalArgumentException.class, () -> RecordedSlope.read(truncated));
         assertThrows(IllegalArgumentException.class, () -> RecordedSlope.read(List.of("change,1,2")));
     }
 
-    private static RecordedSlope slope(ScaleMetric figure, double intercept, double slope) {
+    private static RecordedSlope slope(ScaleMetric metric, double intercept, double slope) {
         return new RecordedSlope(
-                figure, new LinearFit(intercept, slope, 0.01), List.of(260, 525, 1_050, 2_100), "2026-12-02");
+                metric, new LinearFit(intercept, slope, 0.01), List.of(260, 525, 1_050, 2_100), "2026-12-02");
     }
 }
--- a/src/test/java/loadbalancer/capacity/LinearFitTest.java
+++ b/src/test/java/loadbalancer/capacity/LinearFitTest.java
@@ -8,7 +8,7 @@
 
 class LinearFitTest {
     @Test
-    void pointsOnALineLeaveNothingUnexplained() {
+    void pointsOnALineHaveNoResidual() {
         LinearFit fit = LinearFit.of(new double[] {100, 200, 400}, new double[] {207, 407, 807});
         assertEquals(2, fit.slope(), 1e-9);
         assertEquals(7, fit.intercept(), 1e-9);
@@ -17,13 +17,13 @@
     }
 
     @Test
-    void aPointOffTheLineShowsInTheResidual() {
+    void pointOffTheLineIncreasesTheResidual() {
         LinearFit fit = LinearFit.of(new double[] {1, 2, 3, 4}, new double[] {10, 20, 30, 60});
         assertTrue(fit.residual() > 0.05 && fit.residual() < 0.2, fit.toString());
     }
 
     @Test
-    void oneSizeMakesNoLine() {
+    void tooFewSizesOrUnequalCountsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> LinearFit.of(new double[] {5}, new double[] {1}));
         assertThrows(IllegalArgumentException.class, () -> LinearFit.of(new double[] {5, 5}, new double[] {1, 2}));
         assertThrows(IllegalArgumentException.class, () -> LinearFit.of(new double[] {5, 6}, new double[] {1}));
--- a/src/test/java/loadbalancer/capacity/ScaleRunTest.java
+++ b/src/test/java/loadbalancer/capacity/ScaleRunTest.java
@@ -15,53 +15,56 @@
 import loadbalancer.testbed.UpstreamShape;
 import org.junit.jupiter.api.Test;
 
-/** Hollow sidecars in several processes on loopback sockets, with faults between them. */
+/** Minimal sidecars in several processes on loopback sockets, with network faults between them. */
 class ScaleRunTest {
     private static final int VOTERS = 3;
-    private static final long LEASE_US = 1_000_000;
-    private static final long PATIENCE_US = 60_000_000;
-    /** A hollow sidecar's messages against a real one's, as a part. */
-    private static final double TOLERANCE = 0.25;
+    private static final long LEASE_MICROS = 1_000_000;
+    private static final long CHANGE_TIMEOUT_MICROS = 60_000_000;
+    /** Largest relative difference between the datagram counts of a minimal and a real sidecar. */
+    private static final double MAX_RELATIVE_DIFFERENCE = 0.25;
 
     @Test
-    void aChangeReachesAllThatCanBeReachedThroughFaults() throws Exception {
+    void allReachableMembersAdoptChangesDespiteFaults() throws Exception {
         int members = 12;
-        try (ScaleRun run = new ScaleRun(members, VOTERS, LEASE_US, 3)) {
+        try (ScaleRun run = new ScaleRun(members, VOTERS, LEASE_MICROS, 3)) {
             run.start();
-            assertReached(members, run.change(5, n -> true, PATIENCE_US), "nobody away");
+            assertAdopted(members, run.change(5, n -> true, CHANGE_TIMEOUT_MICROS), "no fault");
 
             run.setSilent(11, true);
-            assertReached(members - 1, run.change(5, n -> n != 11, PATIENCE_US), "one away");
+            assertAdopted(members - 1, run.change(5, n -> n != 11, CHANGE_TIMEOUT_MICROS), "one member silent");
             run.setSilent(11, false);
 
             run.partition(8, members);
-            assertReached(8, run.change(5, n -> n < 8, PATIENCE_US), "a third cut off");
+            assertAdopted(8, run.change(5, n -> n < 8, CHANGE_TIMEOUT_MICROS), "a third partitioned");
             run.partition(0, 0);
 
             run.setLossRate(0.1);
             run.restart(9);
-            assertReached(members, run.change(6, n -> true, PATIENCE_US), "one datagram in ten lost, one restarted");
+            assertAdopted(
+                    members,
+                    run.change(6, n -> true, CHANGE_TIMEOUT_MICROS),
+                    "10 % of datagrams lost, one member restarted");
             run.setLossRate(0);
 
             run.killVoter(2);
-            assertReached(members - 1, run.change(5, n -> n != 2, PATIENCE_US), "a voter killed");
+            assertAdopted(members - 1, run.change(5, n -> n != 2, CHANGE_TIMEOUT_MICROS), "one voter killed");
         }
     }
 
-    private static void assertReached(int wanted, ScaleRun.Change change, String what) {
-        assertEquals(wanted, change.expectedMembers(), what);
-        assertTrue(change.isComplete(), what + ": " + change);
+    private static void assertAdopted(int expected, ScaleRun.Change change, String fault) {
+        assertEquals(expected, change.expectedMembers(), fault);
+        assertTrue(change.isComplete(), fault + ": " + change);
     }
 
-    /** What stands for a real sidecar in the scale run says as much as a real one at rest. */
+    /** A minimal sidecar that sent fewer datagrams than a real one would make the results of scale runs too low. */
     @Test
-    void aHollowSidecarSaysAsMuchAsARealOne() throws Exception {
+    void idleMinimalSidecarSendsAsManyDatagramsAsARealOne() throws Exception {
         int members = 8;
         int real = members - 1;
-        int hollow = members - 2;
-        try (Testbed world = new Testbed(UpstreamShape.SMALL);
-                ScaleRun run = new ScaleRun(members, VOTERS, LEASE_US, 3, "127.77.3.8")) {
-            world.nodes(1);
+        int minimal = members - 2;
+        try (Testbed testbed = new Testbed(UpstreamShape.SMALL);
+                ScaleRun run = new ScaleRun(members, VOTERS, LEASE_MICROS, 3, "127.77.3.8")) {
+            testbed.nodes(1);
             List<String> peers = new ArrayList<>(run.addresses());
             peers.add("127.77.3.8:1");
             Map<String, Object> config = new LinkedHashMap<>();
@@ -69,30 +72,34 @@
             config.put("peers", peers);
             config.put("peers_all", peers.get(0));
             Map<String, Object> list = Testbed.list(
-                    40, world.nodes().stream().map(Testbed.Listed::of).toList());
+                    40, testbed.nodes().stream().map(Testbed.Listed::of).toList());
             String operator = "[zones]\n[consensus]\nfleet = \"scale\"\nvoters = " + VOTERS
-                    + "\nlease = \"1s\"\nfile = \"" + world.folder().resolve("policy.toml") + "\"\n";
+                    + "\nlease = \"1s\"\nfile = \"" + testbed.folder().resolve("policy.toml") + "\"\n";
             run.start();
-            SidecarProcess sidecar = world.peered(real, members, list, config, operator);
-            world.ready(sidecar.address()).get(60, TimeUnit.SECONDS);
+            SidecarProcess sidecar = testbed.peered(real, members, list, config, operator);
+            testbed.ready(sidecar.address()).get(60, TimeUnit.SECONDS);
 
-            // Both say their words for the same time; the count goes on until there are enough of them to compare.
+            // Both are counted over the same time, until there are enough datagrams to compare.
             long realBefore = run.datagramsFrom(real);
-            long hollowBefore = run.datagramsFrom(hollow);
-            long said = 0;
-            for (int half = 0; said < 200; half++) {
-                assertTrue(half < 120, "the real sidecar has said " + said + " messages in a minute: " + sidecar.log());
-                world.play(500);
-                said = run.datagramsFrom(real) - realBefore;
+            long minimalBefore = run.datagramsFrom(minimal);
+            long realDatagrams = 0;
+            for (int wait = 0; realDatagrams < 200; wait++) {
+                assertTrue(
+                        wait < 120,
+                        "the real sidecar sent only " + realDatagrams + " datagrams in a minute: " + sidecar.log());
+                testbed.play(500);
+                realDatagrams = run.datagramsFrom(real) - realBefore;
             }
-            double ratio = (double) (run.datagramsFrom(hollow) - hollowBefore) / said;
-            assertTrue(ratio > 1 - TOLERANCE && ratio < 1 + TOLERANCE, "hollow over real: " + ratio);
+            double ratio = (double) (run.datagramsFrom(minimal) - minimalBefore) / realDatagrams;
+            assertTrue(
+                    ratio > 1 - MAX_RELATIVE_DIFFERENCE && ratio < 1 + MAX_RELATIVE_DIFFERENCE,
+                    "datagrams of the minimal sidecar per datagram of the real one: " + ratio);
         }
     }
 
-    /** So it ends with whoever started it, however that one ends: the kernel closes the pipe. */
+    /** The kernel closes the pipe when the parent process ends for any reason, so no host outlives its parent. */
     @Test
-    void aHostEndsWithItsInput() throws Exception {
+    void hostExitsAtTheEndOfItsInput() throws Exception {
         Process host = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
@@ -107,12 +114,12 @@
                         "4")
                 .start();
         try {
-            assertEquals(4, host.inputReader().readLine().split(" ").length, "a port for each member");
+            assertEquals(4, host.inputReader().readLine().split(" ").length, "one port per member");
             host.outputWriter().write("start\n");
             host.outputWriter().flush();
             assertEquals("ok", host.inputReader().readLine());
             host.outputWriter().close();
-            assertTrue(host.waitFor(60, TimeUnit.SECONDS), "it goes on without whoever started it");
+            assertTrue(host.waitFor(60, TimeUnit.SECONDS), "the host still runs 60 s after its input ended");
             assertEquals(0, host.exitValue());
         } finally {
             host.destroyForcibly();
@@ -120,8 +127,8 @@
     }
 
     @Test
-    void moreMembersThanTheTargetAreRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new ScaleRun(2_101, 5, LEASE_US, 1));
-        assertThrows(IllegalArgumentException.class, () -> new ScaleRun(5, 5, LEASE_US, 1));
+    void tooManyOrTooFewMembersAreRejected() {
+        assertThrows(IllegalArgumentException.class, () -> new ScaleRun(2_101, 5, LEASE_MICROS, 1));
+        assertThrows(IllegalArgumentException.class, () -> new ScaleRun(5, 5, LEASE_MICROS, 1));
     }
 }
