--- a/src/main/java/loadbalancer/control/ControlClient.java
+++ b/src/main/java/loadbalancer/control/ControlClient.java
@@ -17,23 +17,27 @@
 import loadbalancer.consensus.Subscription.MessageKind;
 
 /**
- * A sidecar's part in the control tier: its subscriptions to scopes, all at one replica, and its migration to the next one when that grants no
- * leases any more. No request waits for it: whoever decides reads {@link #activeStage} and goes on. Pure, times are in microseconds of a
- * monotonic clock; not thread-safe.
+ * A sidecar's client of the control tier. Subscribes to scopes, all at one replica, and migrates to the next replica
+ * when that one no longer grants leases. Requests never wait for the client: they are decided by the current
+ * {@link #activeStage}. Pure; times are in microseconds of a monotonic clock. Not thread-safe.
  */
 public final class ControlClient {
     private static final int RENEWALS_PER_LEASE = 4;
-    /** Rounds of requests without a lease on each scope before it migrates. */
+    /**
+     * Number of consecutive rounds of lease requests without a lease on every scope after which the client migrates.
+     */
     private static final int MAX_UNANSWERED_ROUNDS = 2;
 
     private static final int RETRIES_PER_ROUND = 3;
-    /** Longest interval between rounds until every scope is known. */
+    /** Longest interval between rounds until a stage of every scope is known. */
     private static final long MAX_STARTUP_INTERVAL_MICROS = 200_000;
 
     private static final long CHUNK_RETRY_MICROS = 40_000;
-    /** Delay after a chunk before the next request, so that the others of the same request have arrived. */
+    /**
+     * Delay from a received chunk to the next chunk request, so that other chunks of the same request can arrive first.
+     */
     private static final long NEXT_CHUNKS_DELAY_MICROS = 5_000;
-    /** Stay at another replica before the preferred one is tried again. */
+    /** Time at another replica after which the client returns to the preferred one. */
     private static final long FAILBACK_DELAY_MICROS = 30_000_000;
 
     private final int[] replicas;
@@ -41,7 +45,7 @@
     private final SplittableRandom random;
     private final Map<Integer, Subscription> subscriptions = new LinkedHashMap<>();
     private final Map<Integer, Integer> scopeByRegisterId = new HashMap<>();
-    /** Scopes without a lease since the last round. */
+    /** Scopes for which no lease was granted since the last round. */
     private final Set<Integer> awaitedScopes = new HashSet<>();
 
     private int replicaIndex;
@@ -54,12 +58,12 @@
     private long droppedMessages;
 
     /**
-     * A client without memory.
+     * Creates a client that knows no stage yet.
      *
      * @param scopes indexes of the scopes to subscribe to
-     * @param replicas numbers of the replicas to ask, the preferred one first; at least one
+     * @param replicas numbers of the replicas in order of preference; at least one
      * @param seed different for each process
-     * @param validator why a content can't be applied here; null if it can
+     * @param validator returns why a content can't be applied here, or null if it can
      */
     public ControlClient(
             ControlGroup group,
@@ -80,37 +84,37 @@
         requestAtMicros = nowMicros;
     }
 
-    /** The stage of a scope to decide by. */
+    /** The stage of a scope by which requests are decided now. */
     public ActiveStage activeStage(int scope, long nowMicros) {
         return subscriptions.get(scope).activeStage(nowMicros);
     }
 
-    /** When the last lease on a scope expires, or expired; {@link Long#MIN_VALUE} before the first. */
+    /** Expiry time, possibly past, of the last lease on a scope; {@link Long#MIN_VALUE} before the first lease. */
     public long leaseExpiryMicros(int scope) {
         return subscriptions.get(scope).leaseExpiryMicros();
     }
 
-    /** The content of a scope's version, if it is here. */
+    /** The content of a version of a scope, if it has been downloaded. */
     public Optional<byte[]> content(int scope, long version) {
         return subscriptions.get(scope).content(version);
     }
 
-    /** Whether it has learned a stage of each scope. */
+    /** Whether this client has learned a stage of each scope. */
     public boolean isReady() {
         return subscriptions.values().stream().allMatch(Subscription::hasLearned);
     }
 
-    /** The replica that it asks now. */
+    /** Number of the replica at which this client subscribes now. */
     public int replica() {
         return replicas[replicaIndex];
     }
 
-    /** How often it has migrated to another replica. */
+    /** Number of migrations to another replica. */
     public long migrations() {
         return migrations;
     }
 
-    /** Datagrams and messages that were malformed, of another tier or scope, or not meant for a client. */
+    /** Number of datagrams and messages that were malformed, of another tier or scope, or not meant for a client. */
     public long droppedMessages() {
         return droppedMessages
                 + subscriptions.values().stream()
@@ -151,7 +155,10 @@
         migrations++;
     }
 
-    /** Asks at random times, so that sidecars that start together do not ask at the same time. */
+    /**
+     * Requests a lease on each scope. Intervals are random, so that sidecars that start together do not request at the
+     * same time.
+     */
     private void requestLeases(long nowMicros, DatagramBatch batch) {
         unansweredRounds++;
         awaitedScopes.addAll(subscriptions.keySet());
@@ -173,7 +180,7 @@
         chunkRequestAtMicros = downloading ? nowMicros + CHUNK_RETRY_MICROS : Long.MAX_VALUE;
     }
 
-    /** Takes a datagram of a replica, by its number. */
+    /** Processes a datagram; {@code from} is the number of the replica that sent it. */
     public void receive(long nowMicros, int from, byte[] datagram, DatagramSender sender) {
         DatagramBatch batch = new DatagramBatch(sender);
         boolean complete = DatagramBatch.read(datagram, message -> receiveMessage(nowMicros, from, message, batch));
--- a/src/main/java/loadbalancer/control/ControlReplica.java
+++ b/src/main/java/loadbalancer/control/ControlReplica.java
@@ -12,14 +12,15 @@
 import loadbalancer.consensus.DatagramSender;
 
 /**
- * One replica of the control tier: a member of each scope's register, which grants leases to sidecars. Registers are independent, so a change of
- * one scope never waits for a change of another. Pure, times are in microseconds of a monotonic clock; not thread-safe.
+ * One replica of the control tier: a member of each scope's register that grants leases to sidecars. Registers are
+ * independent, so a change of one scope never waits for a change of another. Pure; times are in microseconds of a
+ * monotonic clock. Not thread-safe.
  */
 public final class ControlReplica {
-    /** Messages of all registers within one interval share datagrams. */
+    /** Interval between ticks; messages of all registers that are due at the same tick share datagrams. */
     static final long TICK_INTERVAL_MICROS = 20_000;
 
-    /** By scope. */
+    /** The register of each scope, by scope index. */
     private final ConsensusNode[] registers;
 
     private final Map<Integer, ConsensusNode> registerById = new HashMap<>();
@@ -27,11 +28,11 @@
     private long droppedMessages;
 
     /**
-     * A replica without memory.
+     * Creates a replica that remembers nothing of an earlier run.
      *
-     * @param replicaId number of this replica; voters have the lowest
+     * @param replicaId number of this replica; voters have the lowest numbers
      * @param seed different for each process
-     * @param validator why a content can't be applied here; null if it can
+     * @param validator returns why a content can't be applied here, or null if it can
      */
     public ControlReplica(
             ControlGroup group, int replicaId, long seed, long nowMicros, Function<byte[], String> validator) {
@@ -45,12 +46,12 @@
         nextTickMicros = nowMicros;
     }
 
-    /** The active stage of a scope, as far as this replica knows. */
+    /** The last stage of a scope that this replica knows to be active. */
     public ActiveStage activeStage(int scope, long nowMicros) {
         return registers[scope].activeStage(nowMicros);
     }
 
-    /** Whether it has a valid lease on each scope, and so can grant leases on all of them. */
+    /** Whether this replica has a valid lease on each scope, so that it can grant leases on all of them. */
     public boolean isReady(long nowMicros) {
         for (ConsensusNode register : registers) {
             if (!register.activeStage(nowMicros).leaseValid()) {
@@ -60,7 +61,7 @@
         return true;
     }
 
-    /** Whether it has a vote, and the memory to use it in each scope. */
+    /** Whether this replica is a voter and, in each scope, has the memory that it needs to vote. */
     public boolean canVote() {
         for (ConsensusNode register : registers) {
             if (!register.canVote()) {
@@ -70,7 +71,7 @@
         return true;
     }
 
-    /** Proposes a content for a scope; why it is rejected, if it can't be applied here. */
+    /** Proposes a content for a scope; returns why it is rejected, if it can't be applied here. */
     public Optional<String> propose(int scope, byte[] content, long nowMicros, DatagramSender sender) {
         DatagramBatch batch = new DatagramBatch(sender);
         Optional<String> rejection = registers[scope].propose(nowMicros, content, batch::add);
@@ -78,7 +79,7 @@
         return rejection;
     }
 
-    /** Asks for an unfinished change of a scope to be rolled back. */
+    /** Requests a rollback of an unfinished change of a scope. */
     public void abort(int scope, long nowMicros, DatagramSender sender) {
         DatagramBatch batch = new DatagramBatch(sender);
         registers[scope].abort(nowMicros, batch::add);
@@ -105,7 +106,7 @@
         return nextTickMicros;
     }
 
-    /** Does what is due in any scope. */
+    /** Ticks the registers that are due. */
     public void tick(long nowMicros, DatagramSender sender) {
         nextTickMicros = nowMicros + TICK_INTERVAL_MICROS;
         DatagramBatch batch = new DatagramBatch(sender);
@@ -117,7 +118,7 @@
         batch.flush();
     }
 
-    /** Takes a datagram of a replica or a sidecar, by its number. */
+    /** Processes a datagram; {@code from} is the number of the replica or sidecar that sent it. */
     public void receive(long nowMicros, int from, byte[] datagram, DatagramSender sender) {
         DatagramBatch batch = new DatagramBatch(sender);
         boolean complete = DatagramBatch.read(datagram, message -> {
@@ -134,7 +135,9 @@
         batch.flush();
     }
 
-    /** Datagrams and messages that were malformed, of another tier or scope, or not allowed from their sender. */
+    /**
+     * Number of datagrams and messages that were malformed, of another tier or scope, or not allowed from their sender.
+     */
     public long droppedMessages() {
         long sum = droppedMessages;
         for (ConsensusNode register : registers) {
--- a/src/main/java/loadbalancer/control/ControlSimulation.java
+++ b/src/main/java/loadbalancer/control/ControlSimulation.java
@@ -13,12 +13,13 @@
 import loadbalancer.consensus.VirtualTime;
 
 /**
- * A control tier and its sidecars on virtual time, with datagrams lost, duplicated, delayed and partitioned, clocks that drift, and processes
- * that pause, crash and restart without memory. After each event it checks that no two processes decide by incompatible versions. Processes are
- * numbered, replicas first, then sidecars. The same seed gives the same result.
+ * Simulates a control tier and its sidecars on virtual time. Datagrams can be lost, duplicated, delayed and cut off by
+ * partitions; clocks drift; processes can pause, crash and restart without memory. After each event the simulation
+ * checks that no two processes decide by incompatible versions. Processes are numbered, replicas first, then sidecars.
+ * The same seed gives the same result.
  */
 public final class ControlSimulation {
-    /** How far a clock may drift from true time, as a fraction of the time that passes; what leases allow for. */
+    /** Largest drift of a clock from true time that leases allow for, as a fraction of the elapsed time. */
     public static final double MAX_CLOCK_DRIFT = 0.02;
 
     private static final long START_MICROS = 1_000_000;
@@ -35,19 +36,24 @@
     private final List<String> violations = new ArrayList<>();
     private IntFunction<Function<byte[], String>> validators = number -> content -> null;
     private Network network = new Network(0, 0, 1_000);
-    /** Processes of different sides receive nothing from each other. */
-    private IntPredicate otherSide = number -> false;
+    /** Processes on one side of the partition; datagrams between the two sides are lost. */
+    private IntPredicate partitionedSide = number -> false;
 
-    private long datagrams;
-    private long bytes;
+    private long datagramsSent;
+    private long bytesSent;
 
-    /** Sidecars that subscribe to random scopes; all processes start at random times within the first second. */
-    public ControlSimulation(ControlGroup group, int sidecars, int scopesEach, long seed) {
-        this(group, sidecars, scopesEach, MAX_CLOCK_DRIFT, seed);
+    /**
+     * Creates a tier whose sidecars subscribe to random scopes; all processes start at random times within the first
+     * second.
+     */
+    public ControlSimulation(ControlGroup group, int sidecars, int scopesPerSidecar, long seed) {
+        this(group, sidecars, scopesPerSidecar, MAX_CLOCK_DRIFT, seed);
     }
 
-    /** @param clockDrift of each clock at most; beyond {@link #MAX_CLOCK_DRIFT} the invariant need not hold */
-    ControlSimulation(ControlGroup group, int sidecars, int scopesEach, double clockDrift, long seed) {
+    /**
+     * @param clockDrift largest drift of each clock; above {@link #MAX_CLOCK_DRIFT} the checked invariant need not hold
+     */
+    ControlSimulation(ControlGroup group, int sidecars, int scopesPerSidecar, double clockDrift, long seed) {
         this.group = group;
         random = new SplittableRandom(seed);
         processes = new SimulatedProcess[group.replicas() + sidecars];
@@ -57,7 +63,7 @@
             subscribers.add(new ArrayList<>());
         }
         for (int number = 0; number < processes.length; number++) {
-            List<Integer> scopes = number < group.replicas() ? allScopes : subscribe(number, scopesEach);
+            List<Integer> scopes = number < group.replicas() ? allScopes : subscribe(number, scopesPerSidecar);
             double clockRate = 1 + clockDrift * (2 * random.nextDouble() - 1);
             processes[number] = new SimulatedProcess(number, scopes, clockRate);
             int started = number;
@@ -65,33 +71,36 @@
         }
     }
 
-    private List<Integer> subscribe(int sidecar, int scopesEach) {
+    private List<Integer> subscribe(int sidecar, int scopesPerSidecar) {
         int scopes = group.scopes().size();
         List<Integer> drawn = random.ints(0, scopes)
                 .distinct()
-                .limit(Math.min(scopesEach, scopes))
+                .limit(Math.min(scopesPerSidecar, scopes))
                 .boxed()
                 .toList();
         drawn.forEach(scope -> subscribers.get(scope).add(sidecar));
         return drawn;
     }
 
-    /** Sets why a process, by its number, can't apply a content, or null if it can; holds for processes that start afterwards. */
+    /**
+     * Sets the content validators, by process number, for processes that start afterwards. A validator returns why its
+     * process can't apply a content, or null if it can.
+     */
     public void setValidators(IntFunction<Function<byte[], String>> newValidators) {
         validators = newValidators;
     }
 
-    /** Changes the network's faults. */
+    /** Sets the fault rates and the delay of the network. */
     public void setNetwork(Network newNetwork) {
         network = newNetwork;
     }
 
-    /** Separates these processes from the others. */
+    /** Separates these processes from all others; replaces an earlier partition. */
     public void partition(IntPredicate side) {
-        otherSide = side;
+        partitionedSide = side;
     }
 
-    /** Starts a process without memory, unless it is running. */
+    /** Starts a process without memory, unless it is alive. */
     public void start(int number) {
         SimulatedProcess process = processes[number];
         if (process.isAlive()) {
@@ -112,7 +121,7 @@
         scheduleTick(process, process.incarnation);
     }
 
-    /** Ends a process at once. */
+    /** Crashes a process. */
     public void kill(int number) {
         SimulatedProcess process = processes[number];
         process.incarnation++;
@@ -120,7 +129,7 @@
         process.client = null;
     }
 
-    /** Stops a process for a time; what arrives meanwhile is delivered afterwards. */
+    /** Pauses a process; datagrams that arrive meanwhile are delivered afterwards. */
     public void pause(int number, long durationMicros) {
         processes[number].pausedUntilMicros = time.nowMicros() + durationMicros;
     }
@@ -176,9 +185,9 @@
 
     private DatagramSender senderOf(int from) {
         return (to, datagram) -> {
-            datagrams++;
-            bytes += datagram.length;
-            boolean partitioned = otherSide.test(from) != otherSide.test(to);
+            datagramsSent++;
+            bytesSent += datagram.length;
+            boolean partitioned = partitionedSide.test(from) != partitionedSide.test(to);
             if (partitioned || random.nextDouble() < network.lossRate) {
                 return;
             }
@@ -199,7 +208,7 @@
                 : process.client.activeStage(scope, localMicros(process));
     }
 
-    /** Compares the stages that a process has changed to with those of all other processes of the scope. */
+    /** Compares each stage that a process has newly changed to with those of all other processes of the scope. */
     private void checkProcess(SimulatedProcess process) {
         for (int scope : process.scopes) {
             ActiveStage active = activeStage(process, scope);
@@ -220,18 +229,18 @@
     }
 
     private void checkPair(SimulatedProcess process, SimulatedProcess other, int scope, ActiveStage active) {
-        // A paused process decides nothing; its stage is checked when it goes on.
+        // A paused process decides nothing; its stage is checked when it resumes.
         if (!other.isAlive() || isPaused(other)) {
             return;
         }
         ActiveStage otherActive = activeStage(other, scope);
         if (!active.isCompatibleWith(otherActive) && violations.size() < MAX_VIOLATIONS) {
-            violations.add("ONE_POLICY at " + time.nowMicros() + " us, scope " + scope + ": " + process.number + " by "
-                    + active + ", " + other.number + " by " + otherActive);
+            violations.add("ONE_POLICY at " + time.nowMicros() + " us, scope " + scope + ": process " + process.number
+                    + " decides by " + active + ", process " + other.number + " by " + otherActive);
         }
     }
 
-    /** Proposes a content at a replica, if it is running, and returns the content's version. */
+    /** Proposes a content at a replica, if it is alive, and returns the content's version. */
     public long propose(int replica, int scope, byte[] content) {
         SimulatedProcess process = processes[replica];
         if (process.replica != null) {
@@ -246,17 +255,17 @@
         return processes[number].isAlive() && !isPaused(processes[number]);
     }
 
-    /** A replica; null if its process is not alive. */
+    /** The replica of a process; null if the process is not alive. */
     public ControlReplica replica(int number) {
         return processes[number].replica;
     }
 
-    /** A sidecar; null if its process is not alive. */
+    /** The client of a sidecar's process; null if the process is not alive. */
     public ControlClient client(int number) {
         return processes[number].client;
     }
 
-    /** The stage that a process decides by; one without a lease if the process is not alive. */
+    /** The stage by which a process decides; a stage without a lease if the process is not alive. */
     public ActiveStage activeStage(int number, int scope) {
         SimulatedProcess process = processes[number];
         return process.isAlive() ? activeStage(process, scope) : new ActiveStage(0, -1, 0, 0, false);
@@ -268,7 +277,10 @@
         return active.leaseValid() && !active.isJoint() && active.newVersion() == version;
     }
 
-    /** Whether all selected subscribers of a scope have that are running and ready; the others serve no requests. */
+    /**
+     * Whether all selected subscribers of a scope that are running and ready have adopted a version. Subscribers that
+     * are not running or not ready serve no requests.
+     */
     public boolean allHaveAdopted(IntPredicate selected, int scope, long version) {
         for (int number : subscribers.get(scope)) {
             boolean serving = isRunning(number) && processes[number].client.isReady();
@@ -284,12 +296,12 @@
         return List.copyOf(subscribers.get(scope));
     }
 
-    /** Replicas and sidecars, alive or not. */
+    /** Number of replicas and sidecars, alive or not. */
     public int processCount() {
         return processes.length;
     }
 
-    /** The true time now. */
+    /** The current true time. */
     public long nowMicros() {
         return time.nowMicros();
     }
@@ -299,43 +311,45 @@
         time.schedule(delayMicros, action);
     }
 
-    /** Runs until a condition holds; the time that this took, or -1 if it did not hold within {@code timeoutMicros}. */
+    /**
+     * Runs until a condition holds; returns the elapsed time, or -1 if it did not hold within {@code timeoutMicros}.
+     */
     public long runUntil(BooleanSupplier condition, long timeoutMicros) {
         return time.runUntil(condition, timeoutMicros);
     }
 
-    /** Runs for a time. */
+    /** Runs for a duration. */
     public void run(long durationMicros) {
         time.run(durationMicros);
     }
 
-    /** Datagrams sent so far, lost ones included. */
-    public long datagrams() {
-        return datagrams;
+    /** Number of datagrams sent so far, including lost ones. */
+    public long datagramsSent() {
+        return datagramsSent;
     }
 
-    /** Bytes of those datagrams, without headers. */
-    public long bytes() {
-        return bytes;
+    /** Number of bytes sent so far, without headers, including lost ones. */
+    public long bytesSent() {
+        return bytesSent;
     }
 
-    /** Violations of the invariant, up to a bound. */
+    /** Violations of the invariant; only the first {@link #MAX_VIOLATIONS} are recorded. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** What a numbered process is now: a replica, a sidecar, or neither while it is not alive. */
+    /** State of a process: it has a replica or a sidecar's client, or neither while it is not alive. */
     private static final class SimulatedProcess {
         private final int number;
         private final List<Integer> scopes;
         private final double clockRate;
         private ControlReplica replica;
         private ControlClient client;
-        /** Grows with each start and kill; events for an earlier one are dropped. */
+        /** Incremented by each start and kill; events of an earlier incarnation are dropped. */
         private int incarnation;
 
         private long pausedUntilMicros;
-        /** The stage of each scope when it was last checked; null before. */
+        /** The stage of each scope that was checked last; null before the first check. */
         private ActiveStage[] checkedStages;
 
         SimulatedProcess(int number, List<Integer> scopes, double clockRate) {
@@ -358,10 +372,10 @@
     }
 
     /**
-     * A network's faults.
+     * Fault rates and delay of a network.
      *
-     * @param lossRate fraction of the datagrams that is lost
-     * @param duplicationRate fraction of the others that arrives twice
+     * @param lossRate fraction of the datagrams that are lost
+     * @param duplicationRate fraction of the other datagrams that arrive twice
      */
     public record Network(double lossRate, double duplicationRate, long meanDelayMicros) {}
 }
--- a/src/main/java/loadbalancer/control/ControlSoak.java
+++ b/src/main/java/loadbalancer/control/ControlSoak.java
@@ -9,14 +9,15 @@
 import java.util.function.IntPredicate;
 
 /**
- * Changes among random faults on a {@link ControlSimulation}: processes restart and pause, regions are partitioned. Changes of different scopes
- * may overlap, those of one scope follow each other. The same seed gives the same result.
+ * A soak test on a {@link ControlSimulation}: makes changes while processes restart and pause, and regions are
+ * partitioned, at random times. Changes of different scopes may overlap; those of one scope follow each other. The same
+ * seed gives the same result.
  */
 public final class ControlSoak {
     private static final long SECOND_MICROS = 1_000_000;
-    /** How often the operator's tool looks whether a change is active. */
+    /** Interval at which the operator's tool polls whether a change is active. */
     private static final long POLL_INTERVAL_MICROS = 20_000;
-    /** After this time a change that its replica has given up is proposed at another one. */
+    /** Delay after which a change that its replica has abandoned is proposed again, at a random replica. */
     private static final long PROPOSAL_RETRY_MICROS = SECOND_MICROS;
 
     private static final long CHANGE_TIMEOUT_MICROS = 60 * SECOND_MICROS;
@@ -31,17 +32,17 @@
     private int unfinished;
     private int pendingChanges;
     private int proposedChanges;
-    private boolean over;
-    private IntPredicate otherSide = number -> false;
+    private boolean finished;
+    private IntPredicate partitionedSide = number -> false;
 
     private ControlSoak(Plan plan, long seed) {
         this.plan = plan;
         random = new SplittableRandom(seed);
-        simulation = new ControlSimulation(plan.group, plan.sidecars, plan.scopesEach, seed);
+        simulation = new ControlSimulation(plan.group, plan.sidecars, plan.scopesPerSidecar, seed);
         simulation.setNetwork(new ControlSimulation.Network(0.01, 0.01, 2_000));
     }
 
-    /** Runs one soak. */
+    /** Runs one soak test. */
     public static Outcome run(Plan plan, long seed) {
         return new ControlSoak(plan, seed).run();
     }
@@ -57,7 +58,7 @@
         simulation.runUntil(
                 () -> proposedChanges >= plan.changes && pendingChanges == 0,
                 2 * plannedMicros + CHANGE_TIMEOUT_MICROS);
-        over = true;
+        finished = true;
         long[] sortedMicros =
                 latenciesMicros.stream().mapToLong(Long::longValue).toArray();
         Arrays.sort(sortedMicros);
@@ -88,14 +89,17 @@
         return ("limit = " + number + "\n").repeat(40).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Restarts or pauses a process, unless a majority of the voters could lose its memory by it. */
+    /**
+     * Restarts or pauses a random process. A voter is spared while another one is down or without memory, so that of
+     * three voters or more a majority never loses its memory.
+     */
     private void restartProcess() {
-        if (over) {
+        if (finished) {
             return;
         }
         int number = random.nextInt(simulation.processCount());
-        boolean riskyVoter = number < plan.group.voters() && votersWithoutMemory() > 0;
-        if (simulation.isRunning(number) && !riskyVoter) {
+        boolean memoryNeeded = number < plan.group.voters() && votersWithoutMemory() > 0;
+        if (simulation.isRunning(number) && !memoryNeeded) {
             if (random.nextInt(4) == 0) {
                 simulation.pause(number, drawExponentialMicros(plan.meanDowntimeMicros));
             } else {
@@ -109,9 +113,9 @@
     private int votersWithoutMemory() {
         int count = 0;
         for (int voter = 0; voter < plan.group.voters(); voter++) {
-            boolean remembers =
+            boolean hasMemory =
                     simulation.isRunning(voter) && simulation.replica(voter).canVote();
-            count += remembers ? 0 : 1;
+            count += hasMemory ? 0 : 1;
         }
         return count;
     }
@@ -121,16 +125,16 @@
         int voters = plan.group.voters();
         int replicas = plan.group.replicas();
         int firstSidecar = replicas + 2 * plan.sidecars / 3;
-        otherSide = number -> number < replicas ? number > voters / 2 && number % 2 == 1 : number >= firstSidecar;
-        simulation.partition(otherSide);
+        partitionedSide = number -> number < replicas ? number > voters / 2 && number % 2 == 1 : number >= firstSidecar;
+        simulation.partition(partitionedSide);
         simulation.schedule(2 * SECOND_MICROS + random.nextLong(10 * SECOND_MICROS), () -> {
-            otherSide = number -> false;
-            simulation.partition(otherSide);
+            partitionedSide = number -> false;
+            simulation.partition(partitionedSide);
         });
     }
 
     private boolean isReachable(int number) {
-        return !otherSide.test(number);
+        return !partitionedSide.test(number);
     }
 
     private int drawReplica() {
@@ -190,18 +194,19 @@
     }
 
     /**
-     * Length and fault rates. Intervals are drawn from exponential distributions.
+     * Size, length and fault rates of a soak test. Intervals are drawn from exponential distributions.
      *
-     * @param scopesEach how many scopes each sidecar subscribes to
-     * @param changes in all
-     * @param meanRestartIntervalMicros between two restarted or paused processes
-     * @param meanDowntimeMicros of a restarted or paused process
-     * @param partitions how often a region is separated from the others
+     * @param scopesPerSidecar number of scopes that each sidecar subscribes to
+     * @param changes number of changes in all
+     * @param meanChangeIntervalMicros mean interval between two changes
+     * @param meanRestartIntervalMicros mean interval between two restarts or pauses of any process
+     * @param meanDowntimeMicros mean time for which a restarted or paused process is down
+     * @param partitions number of times that a region is separated from the others
      */
     public record Plan(
             ControlGroup group,
             int sidecars,
-            int scopesEach,
+            int scopesPerSidecar,
             int changes,
             long meanChangeIntervalMicros,
             long meanRestartIntervalMicros,
@@ -209,14 +214,15 @@
             int partitions) {}
 
     /**
-     * What a soak measured.
+     * Results of a soak test.
      *
-     * @param latenciesMicros of each change from its proposal until all reachable sidecars have adopted it, ascending
-     * @param unfinished changes that timed out
-     * @param violations of the invariant
+     * @param latenciesMicros time of each change from its proposal until all reachable sidecars have adopted it, in
+     *     ascending order
+     * @param unfinished number of changes that timed out
+     * @param violations violations of the simulation's invariant
      */
     public record Outcome(long[] latenciesMicros, int unfinished, List<String> violations) {
-        /** The latency below which this fraction of the changes stayed, us; 0 without changes. */
+        /** A quantile, from 0 to 1, of the changes' latencies; 0 without changes. */
         public long latencyQuantileMicros(double quantile) {
             int changes = latenciesMicros.length;
             return changes == 0 ? 0 : latenciesMicros[(int) Math.min(changes - 1, quantile * changes)];
--- a/src/main/java/loadbalancer/control/DatagramBatch.java
+++ b/src/main/java/loadbalancer/control/DatagramBatch.java
@@ -8,8 +8,9 @@
 import loadbalancer.consensus.DatagramSender;
 
 /**
- * Batches messages of several scopes into datagrams of at most {@link #MAX_BYTES}: a tag, a version, then for each message its length in one
- * byte and its bytes, which carry their register and checksum. Full datagrams are sent at once, the others at {@link #flush}.
+ * Batches messages of several scopes into datagrams of at most {@link #MAX_BYTES}. A datagram has a tag, a version and,
+ * for each message, its length in one byte and its bytes, which include a register id and a checksum. Full datagrams
+ * are sent at once, the others by {@link #flush}.
  */
 final class DatagramBatch {
     static final byte TAG = 'C';
@@ -21,14 +22,14 @@
     private static final int MAX_MESSAGE_BYTES = MAX_BYTES - HEADER_BYTES - LENGTH_BYTES;
 
     private final DatagramSender sender;
-    /** Datagrams that are not full, by receiver. */
-    private final Map<Integer, ByteBuffer> open = new LinkedHashMap<>();
+    /** Datagrams that are not full yet, by receiving process. */
+    private final Map<Integer, ByteBuffer> pending = new LinkedHashMap<>();
 
     DatagramBatch(DatagramSender sender) {
         this.sender = sender;
     }
 
-    /** Whether a datagram is a batch, by its first byte. */
+    /** Whether a datagram is a batch, judging by its first byte. */
     static boolean isBatch(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == TAG;
     }
@@ -40,38 +41,40 @@
      */
     void add(int to, byte[] message) {
         if (message.length > MAX_MESSAGE_BYTES) {
-            throw new IllegalArgumentException(
-                    "a message of " + message.length + " bytes, at most " + MAX_MESSAGE_BYTES + " fit a datagram");
+            throw new IllegalArgumentException("message of " + message.length + " bytes, expected at most "
+                    + MAX_MESSAGE_BYTES + " so that it fits a datagram");
         }
-        ByteBuffer buffer = open.get(to);
+        ByteBuffer buffer = pending.get(to);
         if (buffer != null && buffer.remaining() < LENGTH_BYTES + message.length) {
             send(to, buffer);
             buffer = null;
         }
         if (buffer == null) {
             buffer = ByteBuffer.allocate(MAX_BYTES).put(TAG).put(VERSION);
-            open.put(to, buffer);
+            pending.put(to, buffer);
         }
         buffer.put((byte) message.length).put(message);
     }
 
-    /** Sends all that was added. */
+    /** Sends all datagrams that are not full. */
     void flush() {
-        open.forEach(this::send);
-        open.clear();
+        pending.forEach(this::send);
+        pending.clear();
     }
 
     private void send(int to, ByteBuffer buffer) {
         sender.send(to, Arrays.copyOf(buffer.array(), buffer.position()));
     }
 
-    /** Passes on each message; false if the datagram is no batch, or ends within a message. */
+    /**
+     * Passes each complete message to the receiver; returns false if the datagram is no batch or ends within a message.
+     */
     static boolean read(byte[] datagram, Consumer<byte[]> receiver) {
-        boolean framed = datagram.length >= HEADER_BYTES
+        boolean validHeader = datagram.length >= HEADER_BYTES
                 && datagram.length <= MAX_BYTES
                 && isBatch(datagram)
                 && datagram[1] == VERSION;
-        if (!framed) {
+        if (!validHeader) {
             return false;
         }
         ByteBuffer buffer = ByteBuffer.wrap(datagram, HEADER_BYTES, datagram.length - HEADER_BYTES);
--- a/src/main/java/loadbalancer/control/RendezvousOrder.java
+++ b/src/main/java/loadbalancer/control/RendezvousOrder.java
@@ -6,14 +6,14 @@
 import java.util.stream.IntStream;
 
 /**
- * The order in which a sidecar prefers replicas, by a hash of both numbers (rendezvous hashing: Thaler and Ravishankar, Using Name-Based
- * Mappings to Increase Hit Rates, IEEE/ACM Transactions on Networking 6(1), 1998). Each replica is preferred by about as many sidecars, and
- * the sidecars of a lost one are spread over all others.
+ * The order in which a sidecar prefers replicas, by a hash of both numbers (rendezvous hashing: Thaler and Ravishankar,
+ * Using Name-Based Mappings to Increase Hit Rates, IEEE/ACM Transactions on Networking 6(1), 1998). Each replica is the
+ * first choice of about the same number of sidecars, and the sidecars of a lost replica are spread over all others.
  */
 public final class RendezvousOrder {
     private RendezvousOrder() {}
 
-    /** Numbers of all replicas, the preferred one first. */
+    /** Numbers of all replicas in order of preference. */
     public static int[] forSidecar(int sidecar, int replicas) {
         return IntStream.range(0, replicas)
                 .boxed()
@@ -30,7 +30,7 @@
         return IntStream.concat(first, others).toArray();
     }
 
-    /** Mixed as in SplitMix64 (Steele, Lea, Flood, OOPSLA 2014); not negative. */
+    /** A hash of both numbers, mixed as in SplitMix64 (Steele, Lea, Flood, OOPSLA 2014); not negative. */
     private static long weight(int sidecar, int replica) {
         long mixed = ((long) sidecar << 32 | replica) * 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/loadbalancer/control/server/ControlFile.java
+++ b/src/main/java/loadbalancer/control/server/ControlFile.java
@@ -9,14 +9,14 @@
 import loadbalancer.toml.ConfigurationTable;
 
 /**
- * A replica's configuration file, read strictly: an unknown key is an error.
+ * The configuration file of a replica. Unknown keys are rejected.
  *
- * @param tier with all scopes
+ * @param tier configuration shared by the whole tier, with all scopes
  * @param replicaId number of this replica
- * @param listenAddress for datagrams
- * @param adminAddress for operators' requests
- * @param folder has NAME.toml for each scope, which operators can propose
- * @param zones that a content may name; empty if it may name any
+ * @param listenAddress address for datagrams
+ * @param adminAddress address for operators' requests
+ * @param folder contains a file SCOPE.toml for each scope, whose content operators can propose
+ * @param zones zones that a content may name; empty if it may name any
  * @param jsonLog whether the log is written as JSON
  */
 record ControlFile(
@@ -37,7 +37,7 @@
     /**
      * Reads a file.
      *
-     * @throws ConfigurationException with file, line and key
+     * @throws ConfigurationException if the file is invalid; the message names file, line and key
      */
     static ControlFile read(String path) throws ConfigurationException {
         return read(ConfigurationTable.read(path));
--- a/src/main/java/loadbalancer/control/server/ControlRequestHandler.java
+++ b/src/main/java/loadbalancer/control/server/ControlRequestHandler.java
@@ -14,7 +14,7 @@
 import loadbalancer.consensus.ActiveStage;
 import loadbalancer.control.ControlReplica;
 
-/** Carries out operators' requests to a replica of the control tier. */
+/** Handles operators' requests to a replica of the control tier. */
 final class ControlRequestHandler implements AdminRequestHandler {
     private final ControlServer server;
 
--- a/src/main/java/loadbalancer/control/server/ControlServer.java
+++ b/src/main/java/loadbalancer/control/server/ControlServer.java
@@ -34,11 +34,11 @@
 import loadbalancer.operator.PolicyFile;
 import loadbalancer.toml.ConfigurationException;
 
-/** The process of one replica. All of it is on one event loop, but for a thread that reads files. */
+/** The process of one replica. Runs on one event loop, except for a thread that reads files. */
 public final class ControlServer {
     private static final int MAX_DATAGRAM_BYTES = 256;
     private static final long MIN_TICK_DELAY_MICROS = 1_000;
-    private static final int MAX_QUEUED_FILES = 64;
+    private static final int MAX_QUEUED_FILE_READS = 64;
     private static final int EXIT_INVALID_INPUT = 2;
     private static final long NO_VERSION = 0;
 
@@ -48,15 +48,16 @@
     private final ControlReplica replica;
     private final Map<InetSocketAddress, Integer> replicaIds = new HashMap<>();
     private final SubscriberIds subscribers;
-    /** By scope; null before the first report. */
-    private final ActiveStage[] reported;
+    /** The stage of each scope that was logged last; null before the first one. */
+    private final ActiveStage[] loggedStages;
 
     private final ThreadPoolExecutor fileReader = new ThreadPoolExecutor(
-            1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_FILES), ControlServer::newFileThread);
+            1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_FILE_READS), ControlServer::newFileThread);
     private Channel channel;
-    private long unknownSenders;
+    /** Datagrams from addresses that got no subscriber id, as all ids were in use. */
+    private long datagramsWithoutId;
 
-    /** A replica that does not listen yet. */
+    /** Creates a replica that does not listen yet. */
     ControlServer(ControlFile file) {
         this.file = file;
         List<InetSocketAddress> addresses = file.tier().replicas();
@@ -64,19 +65,19 @@
             replicaIds.put(addresses.get(replicaId), replicaId);
         }
         subscribers = new SubscriberIds(addresses.size());
-        reported = new ActiveStage[file.scopes().size()];
+        loggedStages = new ActiveStage[file.scopes().size()];
         long seed = clock.nowMicros() * 31 + file.replicaId();
         replica = new ControlReplica(
                 file.tier().group(), file.replicaId(), seed, clock.nowMicros(), this::rejectionReason);
     }
 
-    private static Thread newFileThread(Runnable work) {
-        Thread thread = new Thread(work, "scope-files");
+    private static Thread newFileThread(Runnable task) {
+        Thread thread = new Thread(task, "scope-files");
         thread.setDaemon(true);
         return thread;
     }
 
-    /** What a replica with this file would do, in one line. */
+    /** A summary, in one line, of a replica with this configuration file. */
     public static String explain(String path) throws ConfigurationException {
         ControlFile file = ControlFile.read(path);
         ControlGroup group = file.tier().group();
@@ -86,7 +87,9 @@
                 + file.adminAddress();
     }
 
-    /** Runs a replica until the process is ended; otherwise returns its exit code. */
+    /**
+     * Runs a replica until the process is terminated; returns an exit code only if the configuration file is invalid.
+     */
     public static int run(String path) throws InterruptedException {
         ControlFile file;
         try {
@@ -96,7 +99,8 @@
             return EXIT_INVALID_INPUT;
         }
         Log.jsonOutput(file.jsonLog());
-        // SIGTERM is no failure, and the other replicas remember what this one has promised.
+        // Exits with 0 on SIGTERM, as that is no failure. Nothing has to be saved: the other replicas remember the
+        // promises of this one.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(() -> Runtime.getRuntime().halt(0), "ending"));
         try {
@@ -128,7 +132,7 @@
 
     private void tick() {
         replica.tick(clock.nowMicros(), this::send);
-        reportChanges();
+        logStageChanges();
         long delayMicros = Math.max(MIN_TICK_DELAY_MICROS, replica.nextTickMicros() - clock.nowMicros());
         loop.schedule(this::tick, delayMicros, TimeUnit.MICROSECONDS);
     }
@@ -147,23 +151,26 @@
         if (from.isPresent()) {
             replica.receive(clock.nowMicros(), from.getAsInt(), datagram, this::send);
         } else {
-            unknownSenders++;
+            datagramsWithoutId++;
         }
     }
 
-    /** Logs changes of any scope. Called on ticks only, since it costs too much for each datagram. */
-    private void reportChanges() {
+    /**
+     * Logs the stage of each scope that has changed. Called on ticks and operators' requests only, as it costs too much
+     * for each datagram.
+     */
+    private void logStageChanges() {
         long nowMicros = clock.nowMicros();
-        for (int scope = 0; scope < reported.length; scope++) {
+        for (int scope = 0; scope < loggedStages.length; scope++) {
             ActiveStage active = replica.activeStage(scope, nowMicros);
-            if (!active.equals(reported[scope])) {
-                reported[scope] = active;
-                logChange(scope, active);
+            if (!active.equals(loggedStages[scope])) {
+                loggedStages[scope] = active;
+                logStageChange(scope, active);
             }
         }
     }
 
-    private void logChange(int scope, ActiveStage active) {
+    private void logStageChange(int scope, ActiveStage active) {
         if (active.index() < 0) {
             return;
         }
@@ -173,7 +180,7 @@
         if (!active.leaseValid()) {
             text = "lease expired: no leases are granted until a majority answers";
         } else if (active.isJoint()) {
-            text = "version " + version + " is active together with the one before";
+            text = "version " + version + " is active jointly with the previous version";
         } else {
             text = "version " + version + " is active";
         }
@@ -188,12 +195,12 @@
                 version);
     }
 
-    /** A version as operators see it. */
+    /** A version in the form that operators see: hexadecimal, or {@code none}. */
     static String versionName(long version) {
         return version == NO_VERSION ? "none" : Long.toHexString(version);
     }
 
-    /** Why a content can't be applied; null if it can. */
+    /** Returns why a content can't be applied, or null if it can. */
     private String rejectionReason(byte[] content) {
         try {
             PolicyFile.read(content, file.zones());
@@ -216,27 +223,30 @@
         return file.scopes();
     }
 
-    /** Sidecars that have asked for a lease. */
+    /** Number of addresses, other than replicas, that have sent datagrams and still have an id. */
     int subscribers() {
         return subscribers.size();
     }
 
-    /** Datagrams and messages that were malformed, of another tier, or of more sidecars than there may be. */
+    /**
+     * Number of datagrams and messages that were malformed, of another tier, or of sidecars beyond the largest number.
+     */
     long droppedDatagrams() {
-        return unknownSenders + replica.droppedMessages();
+        return datagramsWithoutId + replica.droppedMessages();
     }
 
     /**
      * Proposes the content of a scope's file.
      *
-     * @param callback called once, on the event loop, with why it was rejected; empty if it was proposed
+     * @param callback called once, on the event loop, with the reason for a rejection, or empty if the content was
+     *     proposed
      */
     void propose(int scope, Consumer<Optional<String>> callback) {
         Path path = file.folder().resolve(scopes().get(scope) + ".toml");
         try {
             fileReader.execute(() -> readAndPropose(path, scope, callback));
         } catch (RejectedExecutionException exception) {
-            callback.accept(Optional.of("too many files wait to be read"));
+            callback.accept(Optional.of("too many proposals are waiting for their files to be read"));
         }
     }
 
@@ -260,15 +270,15 @@
                         + rejection
                                 .map(reason -> "rejected: " + reason)
                                 .orElse(content.length + " bytes are proposed"));
-        reportChanges();
+        logStageChanges();
         return rejection;
     }
 
-    /** Asks for an unfinished change of a scope to be rolled back. */
+    /** Requests a rollback of an unfinished change of a scope. */
     void abort(int scope) {
-        Log.event("control.abort", "scope " + scopes().get(scope) + ": the unfinished change is to be rolled back");
+        Log.event("control.abort", "scope " + scopes().get(scope) + ": rollback of the unfinished change requested");
         replica.abort(scope, clock.nowMicros(), this::send);
-        reportChanges();
+        logStageChanges();
     }
 
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
@@ -279,7 +289,9 @@
             }
         }
 
-        /** The network reports that nobody received an earlier datagram, which is no reason to stop receiving. */
+        /**
+         * Ignores errors, such as an ICMP "port unreachable" for an earlier datagram, so that the socket stays open.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
     }
--- a/src/main/java/loadbalancer/control/server/SubscriberIds.java
+++ b/src/main/java/loadbalancer/control/server/SubscriberIds.java
@@ -9,18 +9,19 @@
 import java.util.OptionalInt;
 
 /**
- * Ids for the addresses from which sidecars ask, assigned in the order in which they come. Bounded: when all are in use, a new address takes
- * the id of one that has been idle for far longer than any lease, or else gets none. Pure.
+ * Assigns ids to the addresses from which sidecars send datagrams, in order of their first one. The number of ids is
+ * bounded. When all are in use, a new address gets the id of the address that has been idle longest, if that was far
+ * longer than any lease, or else none. Pure.
  */
 final class SubscriberIds {
     static final int MAX_SUBSCRIBERS = 4_096;
-    /** Far longer than any lease, so that an id is not reassigned while a lease of it may be valid. */
+    /** Far longer than any lease, so that an id is not reassigned while its old address may have a valid lease. */
     static final long IDLE_TIMEOUT_MICROS = 120_000_000;
 
     private static final float LOAD_FACTOR = 0.75f;
 
     private final int firstId;
-    /** Least recently heard first. */
+    /** By address, ordered by the time of the last datagram, oldest first. */
     private final Map<InetSocketAddress, Subscriber> subscribers = new LinkedHashMap<>(16, LOAD_FACTOR, true);
 
     private final Map<Integer, InetSocketAddress> addresses = new HashMap<>();
@@ -31,7 +32,7 @@
         this.firstId = firstId;
     }
 
-    /** The id of an address that was heard now; empty if there are too many. */
+    /** The id of an address that has just sent a datagram, newly assigned if necessary; empty if all ids are in use. */
     OptionalInt idOf(InetSocketAddress address, long nowMicros) {
         Subscriber subscriber = subscribers.get(address);
         if (subscriber == null) {
@@ -43,7 +44,7 @@
             }
             subscriber = add(address);
         }
-        subscriber.lastHeardMicros = nowMicros;
+        subscriber.lastDatagramMicros = nowMicros;
         return OptionalInt.of(subscriber.id);
     }
 
@@ -59,14 +60,14 @@
         Map.Entry<InetSocketAddress, Subscriber> oldest =
                 subscribers.entrySet().iterator().next();
         Subscriber subscriber = oldest.getValue();
-        if (nowMicros - subscriber.lastHeardMicros >= IDLE_TIMEOUT_MICROS) {
+        if (nowMicros - subscriber.lastDatagramMicros >= IDLE_TIMEOUT_MICROS) {
             subscribers.remove(oldest.getKey());
             addresses.remove(subscriber.id);
             freeIds.add(subscriber.id);
         }
     }
 
-    /** The address that has an id, if any. */
+    /** The address to which an id is assigned, if any. */
     Optional<InetSocketAddress> address(int id) {
         return Optional.ofNullable(addresses.get(id));
     }
@@ -77,7 +78,7 @@
 
     private static final class Subscriber {
         private final int id;
-        private long lastHeardMicros;
+        private long lastDatagramMicros;
 
         Subscriber(int id) {
             this.id = id;
--- a/src/main/java/loadbalancer/control/server/package-info.java
+++ b/src/main/java/loadbalancer/control/server/package-info.java
@@ -1,2 +1,2 @@
-/** The process of one replica of the control tier: its file, its socket, its timers and its address for operators. */
+/** The process of one replica of the control tier: configuration file, datagram socket, timers and admin server. */
 package loadbalancer.control.server;
--- a/src/test/java/loadbalancer/capacity/ScaleRunTest.java
+++ b/src/test/java/loadbalancer/capacity/ScaleRunTest.java
@@ -56,7 +56,7 @@
         assertTrue(change.isComplete(), fault + ": " + change);
     }
 
-    /** A minimal sidecar that sent fewer datagrams than a real one would make the results of scale runs too low. */
+    /** Scale runs would measure the wrong load if a minimal sidecar sent fewer or more datagrams than a real one. */
     @Test
     void idleMinimalSidecarSendsAsManyDatagramsAsARealOne() throws Exception {
         int members = 8;
--- a/src/test/java/loadbalancer/control/ControlSimulationTest.java
+++ b/src/test/java/loadbalancer/control/ControlSimulationTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The control tier and its sidecars with the faults that a fleet meets, on virtual time. */
+/** The control tier and its sidecars on virtual time, with the faults that occur in a fleet. */
 class ControlSimulationTest {
     private static final IntPredicate FAR_SIDECARS = number -> number >= REPLICAS + SIDECARS / 2;
 
     @Test
-    void violationByClocksThatDriftTooFarIsFound() {
+    void violationCausedByExcessiveClockDriftIsDetected() {
         // given
         ControlSimulation simulation = new ControlSimulation(TestTier.group(1, 2 * SECOND_MICROS), SIDECARS, 1, 0.7, 1);
         simulation.run(10 * SECOND_MICROS);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void killedSidecarDelaysOneChangeByItsLeaseAndTheNextNotAtAll() {
+    void killedSidecarDelaysTheNextChangeByItsLeaseAndNoLaterOne() {
         // given
         TestTier tier = new TestTier(2);
         tier.simulation.kill(tier.firstSubscriber(0));
@@ -90,32 +90,32 @@
         long elapsedMicros = tier.change(1, otherScope, 2, ALL);
         // then
         assertTrue(elapsedMicros >= 0 && elapsedMicros < SECOND_MICROS, elapsedMicros + " us");
-        assertFalse(tier.allHaveAdopted(0, 1), "the other change still waits");
+        assertFalse(tier.allHaveAdopted(0, 1), "the change of the other scope still waits for the paused sidecar");
         tier.assertNoViolations();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 3, 6})
-    void changeDuringWhichAReplicaCrashesIsAdoptedEverywhereOrNowhere(int crashing) {
+    void changeInterruptedByAReplicaCrashIsAdoptedEverywhereOrNowhere(int crashed) {
         for (long afterMicros = 1_000; afterMicros < 200_000; afterMicros += 23_000) {
             // given
-            TestTier tier = new TestTier(afterMicros + crashing);
-            tier.propose(crashing, 0, 1);
+            TestTier tier = new TestTier(afterMicros + crashed);
+            tier.propose(crashed, 0, 1);
             tier.simulation.run(afterMicros);
             // when
-            tier.simulation.kill(crashing);
+            tier.simulation.kill(crashed);
             tier.runSeconds(9);
             // then
             boolean everywhere = tier.allHaveAdopted(0, 1);
             boolean nowhere = tier.simulation.allHaveAdopted(ALL, 0, 0);
-            assertTrue(everywhere || nowhere, "crash after " + afterMicros + " us");
-            long nextMicros = tier.change((crashing + 1) % REPLICAS, 0, 2, ALL);
-            assertTrue(nextMicros >= 0, "the next change, crash after " + afterMicros + " us");
+            assertTrue(everywhere || nowhere, "adopted by some only, crash after " + afterMicros + " us");
+            long nextMicros = tier.change((crashed + 1) % REPLICAS, 0, 2, ALL);
+            assertTrue(nextMicros >= 0, "next change timed out, crash after " + afterMicros + " us");
             tier.assertNoViolations();
         }
     }
 
-    /** They migrate to other replicas before their leases expire. */
+    /** The sidecars of a lost replica migrate to other replicas before their leases expire. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void sidecarsOfALostReplicaKeepValidLeases(boolean paused) {
@@ -136,12 +136,14 @@
             }
         }
         long elapsedMicros = tier.change(1, 0, 1, ALL);
-        assertTrue(elapsedMicros < 6 * SECOND_MICROS, "a change waits for the lost leases and no longer");
+        assertTrue(
+                elapsedMicros < 6 * SECOND_MICROS,
+                "a change waits for the lost leases to expire and no longer, took " + elapsedMicros + " us");
         tier.assertNoViolations();
     }
 
     @Test
-    void leaderThatPausesBeyondItsLeaseViolatesNothing() {
+    void leaderPausedBeyondItsLeaseCausesNoViolation() {
         for (long afterMicros = 5_000; afterMicros < 400_000; afterMicros += 45_000) {
             // given
             TestTier tier = new TestTier(afterMicros);
@@ -159,7 +161,7 @@
     }
 
     @Test
-    void changesGoOnWithThreeOfFiveVotersAndStopWithTwo() {
+    void changesContinueWithThreeOfFiveVotersAndStopWithTwo() {
         // given
         TestTier tier = new TestTier(8);
         int sidecar = tier.firstSubscriber(0);
@@ -174,11 +176,11 @@
         assertEquals(TIMED_OUT, tier.change(5, 0, 2, ALL));
         assertFalse(tier.simulation.activeStage(sidecar, 0).leaseValid());
         long lastVersion = tier.simulation.activeStage(sidecar, 0).newVersion();
-        assertEquals(version(1), lastVersion, "it goes on with the last known version");
+        assertEquals(version(1), lastVersion, "the sidecar keeps the last known version");
         // when
         tier.simulation.partition(NONE);
         // then
-        assertTrue(tier.adopts(0, 2, 9), "with the third voter back");
+        assertTrue(tier.adoptWithin(0, 2, 9), "the change is adopted once the third voter is reachable again");
         tier.assertNoViolations();
     }
 
@@ -199,9 +201,9 @@
         tier.assertNoViolations();
     }
 
-    /** Three voters are on one side with half of the sidecars. */
+    /** Three of the five voters and half of the sidecars are on one side. */
     @Test
-    void partitionOfRegionsDuringAChangeHeals() {
+    void changeContinuesOnTheMajoritySideOfAPartitionAndReachesAllAfterIt() {
         for (long afterMicros = 0; afterMicros < 300_000; afterMicros += 60_000) {
             // given
             TestTier tier = new TestTier(10 + afterMicros);
@@ -217,11 +219,11 @@
             long nextMicros = tier.change(1, 0, 2, far.negate());
             assertTrue(
                     nextMicros >= 0 && nextMicros < 9 * SECOND_MICROS,
-                    "the majority's side goes on: " + nextMicros + " us");
+                    "next change on the majority side: " + nextMicros + " us");
             // when
             tier.simulation.partition(NONE);
             // then
-            assertTrue(tier.adopts(0, 2, 9), "after the partition");
+            assertTrue(tier.adoptWithin(0, 2, 9), "the change is adopted everywhere after the partition");
             tier.assertNoViolations();
         }
     }
@@ -245,7 +247,7 @@
     }
 
     @Test
-    void twoConcurrentChangesOfOneScopeEndInOne() {
+    void onlyOneOfTwoConcurrentChangesOfAScopeIsAdopted() {
         for (long seed = 20; seed < 30; seed++) {
             // given
             TestTier tier = new TestTier(seed);
--- a/src/test/java/loadbalancer/control/ControlSoakTest.java
+++ b/src/test/java/loadbalancer/control/ControlSoakTest.java
@@ -7,24 +7,27 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Soaks at a small size; {@code bench/capacity.sh} runs them at full size. */
+/** Soak tests at a small size; {@code bench/capacity.sh} runs them at full size. */
 class ControlSoakTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int SOAKS = 12;
     private static final int CHANGES = 60;
 
-    /** A change a second, and every three seconds one process of about fifty that restarts or pauses: far rougher than operation. */
-    private static ControlSoak.Plan roughPlan() {
+    /**
+     * A change every second and a restart or pause of one of about fifty processes every three seconds, on average: far
+     * more than in operation.
+     */
+    private static ControlSoak.Plan frequentFaultsPlan() {
         ControlGroup group =
                 new ControlGroup("test", ControlGroup.numberedScopes(8), 5, 11, 2 * SECOND_MICROS, 1_200_000);
         return new ControlSoak.Plan(group, 40, 4, CHANGES, SECOND_MICROS, 3 * SECOND_MICROS, 3 * SECOND_MICROS, 2);
     }
 
     @Test
-    void randomFaultsViolateNothingAndEveryChangeIsAdoptedInTime() {
+    void randomFaultsCauseNoViolationsAndAllChangesAreAdoptedInTime() {
         for (long seed = 1; seed <= SOAKS; seed++) {
             // when
-            ControlSoak.Outcome outcome = ControlSoak.run(roughPlan(), seed);
+            ControlSoak.Outcome outcome = ControlSoak.run(frequentFaultsPlan(), seed);
             // then
             assertEquals(List.of(), outcome.violations(), "seed " + seed);
             assertEquals(0, outcome.unfinished(), "seed " + seed);
@@ -37,8 +40,8 @@
     @Test
     void sameSeedGivesTheSameOutcome() {
         // when
-        ControlSoak.Outcome first = ControlSoak.run(roughPlan(), 5);
-        ControlSoak.Outcome second = ControlSoak.run(roughPlan(), 5);
+        ControlSoak.Outcome first = ControlSoak.run(frequentFaultsPlan(), 5);
+        ControlSoak.Outcome second = ControlSoak.run(frequentFaultsPlan(), 5);
         // then
         assertArrayEquals(first.latenciesMicros(), second.latenciesMicros());
     }
--- a/src/test/java/loadbalancer/control/DatagramBatchTest.java
+++ b/src/test/java/loadbalancer/control/DatagramBatchTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void truncatedDatagramPassesOnNoMessage() {
+    void truncatedDatagramYieldsNoMessage() {
         // given
         batch.add(1, new byte[] {5, 6, 7});
         batch.flush();
@@ -61,19 +61,19 @@
             List<byte[]> messages = new ArrayList<>();
             boolean complete = DatagramBatch.read(Arrays.copyOf(datagram, length), messages::add);
             // then
-            assertEquals(length == HEADER_BYTES, complete, "a batch may have no message");
+            assertEquals(length == HEADER_BYTES, complete, "only a batch without messages is complete");
             assertEquals(0, messages.size());
         }
         assertArrayEquals(new byte[] {5, 6, 7}, read(datagram).get(0));
     }
 
     @Test
-    void datagramThatIsTooLongIsNoBatch() {
+    void datagramAboveTheMaximumSizeIsRejected() {
         assertFalse(DatagramBatch.read(new byte[DatagramBatch.MAX_BYTES + 1], message -> {}));
     }
 
     @Test
-    void randomDatagramsAreReadWithoutFailure() {
+    void randomDatagramsAreReadWithoutException() {
         SplittableRandom random = new SplittableRandom(1);
         for (int run = 0; run < 10_000; run++) {
             byte[] datagram = new byte[random.nextInt(300)];
@@ -116,17 +116,17 @@
         // when
         replica.receive(0, 1, request(group(3_000_000)), (to, datagram) -> {});
         // then
-        assertEquals(2, replica.droppedMessages(), "of a group with another lease");
+        assertEquals(2, replica.droppedMessages(), "message of a group with another lease length");
     }
 
     @Test
-    void allScopesOfTheLargestGroupHaveRegistersOfTheirOwn() {
+    void largestGroupHasUniqueRegisterIds() {
         List<String> scopes = ControlGroup.numberedScopes(ControlGroup.MAX_SCOPES);
         assertEquals(scopes, new ControlGroup("test", scopes, 5, 11, 2_000_000, 1_000_000).scopes());
     }
 
     @Test
-    void groupWithAScopeTwiceIsRejected() {
+    void duplicateScopeIsRejected() {
         List<String> scopes = List.of("a", "b", "a");
         assertThrows(
                 IllegalArgumentException.class, () -> new ControlGroup("test", scopes, 1, 1, 2_000_000, 1_000_000));
--- a/src/test/java/loadbalancer/control/RendezvousOrderTest.java
+++ b/src/test/java/loadbalancer/control/RendezvousOrderTest.java
@@ -12,7 +12,7 @@
     private static final int SIDECARS = 2_100;
 
     @Test
-    void everyReplicaIsTheFirstAndTheSecondChoiceOfAboutAsManySidecars() {
+    void firstAndSecondChoicesAreSpreadEvenlyOverTheReplicas() {
         // given
         int[] firstChoices = new int[REPLICAS];
         int[] secondChoices = new int[REPLICAS];
--- a/src/test/java/loadbalancer/control/SoakCase.java
+++ b/src/test/java/loadbalancer/control/SoakCase.java
@@ -4,11 +4,14 @@
 import org.junit.jupiter.params.aggregator.ArgumentsAccessor;
 import org.junit.jupiter.params.aggregator.ArgumentsAggregator;
 
-/** A soak and the recorded summary of its outcome. */
+/** A soak test and the recorded summary of its outcome. */
 record SoakCase(ControlSoak.Plan plan, long seed, String expected) {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** Reads a case from a row: scopes, voters, replicas, sidecars, scopes of each, changes, partitions, seed, expected. */
+    /**
+     * Reads a case from a row: scopes, voters, replicas, sidecars, scopes per sidecar, changes, partitions, seed,
+     * expected.
+     */
     static final class FromRow implements ArgumentsAggregator {
         @Override
         public SoakCase aggregateArguments(ArgumentsAccessor row, ParameterContext context) {
--- a/src/test/java/loadbalancer/control/StoredDatagramBatchTest.java
+++ b/src/test/java/loadbalancer/control/StoredDatagramBatchTest.java
@@ -15,7 +15,9 @@
 import loadbalancer.stored.StoredSamples;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between a sidecar and a control replica: the batch, and a subscription's messages in it. */
+/**
+ * The bytes of datagrams between a sidecar and a control replica: the batch format, and the messages of a subscription.
+ */
 class StoredDatagramBatchTest {
     private static final ControlGroup GROUP =
             new ControlGroup("tier", List.of("orders", "payments"), 1, 1, 4_000_000, 2_000_000);
@@ -23,10 +25,10 @@
     private static final byte[] SECOND = "# Second.\n[share]\n".getBytes(StandardCharsets.UTF_8);
     private static final int REPLICA = 0;
     private static final int SIDECAR = 1;
-    /** Where a message's kind is: behind tag, version and register number. */
-    private static final int KIND_AT = 6;
+    /** Position of the kind in a message: after tag, version and register id. */
+    private static final int KIND_INDEX = 6;
     /** Chunk request, chunk, validate, valid, subscriber request, subscriber lease, stage changed. */
-    private static final Set<Integer> KINDS = Set.of(19, 20, 22, 23, 24, 25, 26);
+    private static final Set<Integer> EXPECTED_KINDS = Set.of(19, 20, 22, 23, 24, 25, 26);
 
     private final List<byte[]> toReplica = new ArrayList<>();
     private final List<byte[]> toSidecar = new ArrayList<>();
@@ -35,7 +37,7 @@
     private long nowMicros;
 
     @Test
-    void storedBatchIsReadAndSentAgainByteForByte() {
+    void batchIsWrittenAndReadAsStored() {
         List<byte[]> sent = new ArrayList<>();
         DatagramBatch batch = new DatagramBatch((to, datagram) -> sent.add(datagram));
         batch.add(REPLICA, new byte[] {'A', 1, 2});
@@ -53,11 +55,11 @@
     }
 
     /**
-     * Both sides from fixed seeds in virtual time: a sidecar subscribes to two scopes, one policy is in force and another one is brought
-     * about. Each datagram to and from the sidecar is as stored.
+     * With fixed seeds, on virtual time: a sidecar subscribes to two scopes, one with an active policy, which is then
+     * changed. Every datagram to and from the sidecar has to equal the stored one.
      */
     @Test
-    void subscriptionExchangesTheStoredDatagramsByteForByte() {
+    void subscriptionExchangesTheStoredDatagrams() {
         ControlReplica replica = new ControlReplica(GROUP, REPLICA, 5, 0, content -> null);
         while (!replica.canVote() || !replica.isReady(nowMicros)) {
             step(replica, null);
@@ -84,13 +86,13 @@
         assertTrue(active.leaseValid());
         assertArrayEquals(SECOND, sidecar.content(0, active.newVersion()).orElseThrow());
         assertEquals(0, sidecar.droppedMessages() + replica.droppedMessages());
-        assertEquals(KINDS, kinds);
+        assertEquals(EXPECTED_KINDS, kinds);
         StoredSamples.assertWritten(
                 "messages/control-subscription.txt", exchange.toString().getBytes(StandardCharsets.UTF_8));
     }
 
     private void step(ControlReplica replica, ControlClient sidecar) {
-        assertTrue(nowMicros < 60_000_000, "done within a minute of virtual time");
+        assertTrue(nowMicros < 60_000_000, "not done within a minute of virtual time");
         nowMicros += ControlReplica.TICK_INTERVAL_MICROS;
         replica.tick(nowMicros, (to, datagram) -> toSidecar.add(datagram));
         if (sidecar != null && nowMicros >= sidecar.nextTickMicros()) {
@@ -98,21 +100,22 @@
         }
         while (sidecar != null && !(toReplica.isEmpty() && toSidecar.isEmpty())) {
             if (!toReplica.isEmpty()) {
-                byte[] datagram = stored("sidecar", toReplica.remove(0));
+                byte[] datagram = record("sidecar", toReplica.remove(0));
                 replica.receive(nowMicros, SIDECAR, datagram, (to, answer) -> toSidecar.add(answer));
             } else {
-                byte[] datagram = stored("replica", toSidecar.remove(0));
+                byte[] datagram = record("replica", toSidecar.remove(0));
                 sidecar.receive(nowMicros, REPLICA, datagram, (to, answer) -> toReplica.add(answer));
             }
         }
     }
 
-    private byte[] stored(String sender, byte[] datagram) {
+    /** Adds a datagram to the recorded exchange. */
+    private byte[] record(String sender, byte[] datagram) {
         exchange.append(sender)
                 .append(' ')
                 .append(HexFormat.of().formatHex(datagram))
                 .append('\n');
-        assertTrue(DatagramBatch.read(datagram, message -> kinds.add((int) message[KIND_AT])));
+        assertTrue(DatagramBatch.read(datagram, message -> kinds.add((int) message[KIND_INDEX])));
         return datagram;
     }
 }
--- a/src/test/java/loadbalancer/control/TestTier.java
+++ b/src/test/java/loadbalancer/control/TestTier.java
@@ -8,7 +8,7 @@
 import java.util.function.IntPredicate;
 import loadbalancer.consensus.ConsensusNode;
 
-/** A simulated tier of seven replicas and forty sidecars, of which the tests make changes. */
+/** A simulated tier of seven replicas and forty sidecars, with helper methods to make changes and check them. */
 final class TestTier {
     static final long SECOND_MICROS = 1_000_000;
     static final int REPLICAS = 7;
@@ -17,19 +17,21 @@
     static final int SIDECARS = 40;
     static final IntPredicate ALL = number -> true;
     static final IntPredicate NONE = number -> false;
-    /** Elapsed time of a change that was not adopted within the limit. */
+    /** Returned as the elapsed time of a change that was not adopted within the timeout. */
     static final long TIMED_OUT = -1;
 
-    private static final int SCOPES_EACH = 3;
-    private static final long CHANGE_LIMIT_MICROS = 12 * SECOND_MICROS;
+    private static final int SCOPES_PER_SIDECAR = 3;
+    private static final long CHANGE_TIMEOUT_MICROS = 12 * SECOND_MICROS;
 
     final ControlSimulation simulation;
 
-    /** All processes have started and are ready. */
+    /** Creates a tier and waits until all processes are ready. */
     TestTier(long seed) {
-        simulation = new ControlSimulation(group(SCOPES, 1_200_000), SIDECARS, SCOPES_EACH, seed);
+        simulation = new ControlSimulation(group(SCOPES, 1_200_000), SIDECARS, SCOPES_PER_SIDECAR, seed);
         simulation.setNetwork(new ControlSimulation.Network(0.02, 0.02, 2_000));
-        assertTrue(simulation.runUntil(this::isReady, 10 * SECOND_MICROS) >= 0, "all are ready, seed " + seed);
+        assertTrue(
+                simulation.runUntil(this::isReady, 10 * SECOND_MICROS) >= 0,
+                "not all processes are ready after 10 s, seed " + seed);
         simulation.run(3 * SECOND_MICROS);
     }
 
@@ -77,14 +79,18 @@
         simulation.propose(replica, scope, content(number));
     }
 
-    /** Proposes a content and runs until all reachable subscribers have adopted it; the time that this took, us. */
+    /**
+     * Proposes a content and runs until all reachable subscribers have adopted it; returns the elapsed time in
+     * microseconds.
+     */
     long change(int replica, int scope, int number, IntPredicate reachable) {
         propose(replica, scope, number);
         return simulation.runUntil(
-                () -> simulation.allHaveAdopted(reachable, scope, version(number)), CHANGE_LIMIT_MICROS);
+                () -> simulation.allHaveAdopted(reachable, scope, version(number)), CHANGE_TIMEOUT_MICROS);
     }
 
-    boolean adopts(int scope, int number, int seconds) {
+    /** Runs until all subscribers have adopted a content; returns false if they have not within a time. */
+    boolean adoptWithin(int scope, int number, int seconds) {
         return simulation.runUntil(() -> allHaveAdopted(scope, number), seconds * SECOND_MICROS) >= 0;
     }
 
--- a/src/test/java/loadbalancer/control/server/ControlFileTest.java
+++ b/src/test/java/loadbalancer/control/server/ControlFileTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void fileOfTheDeploymentIsRead() throws ConfigurationException {
+    void deployedControlFileIsRead() throws ConfigurationException {
         // when
         ControlFile file = ControlFile.read("deploy/control.toml");
         // then
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void absentKeysHaveDefaults() throws ConfigurationException {
+    void optionalKeysHaveDefaults() throws ConfigurationException {
         // when
         ControlFile file = read(VALID);
         // then
--- a/src/test/java/loadbalancer/control/server/StoredReplicaCallsTest.java
+++ b/src/test/java/loadbalancer/control/server/StoredReplicaCallsTest.java
@@ -15,11 +15,11 @@
 import loadbalancer.toml.ConfigurationTable;
 import org.junit.jupiter.api.Test;
 
-/** Operators' requests to a control replica and its answers, before it is ready and while one scope has an active version. */
+/** A control replica's answers to operators' requests, before it is ready and while one scope has an active version. */
 class StoredReplicaCallsTest {
     private static final long TICK_MICROS = 20_000;
     private static final int TICKS = 100;
-    private static final DatagramSender NOWHERE = (to, datagram) -> {};
+    private static final DatagramSender DISCARD = (to, datagram) -> {};
     private static final String FILE =
             """
             [control]
@@ -31,7 +31,7 @@
             scopes = ["orders", "payments"]
             folder = "scopes"
             """;
-    private static final List<String> CALLS = List.of(
+    private static final List<String> REQUESTS = List.of(
             "GET /control/ready",
             "GET /control/scopes",
             "GET /control/scopes/orders",
@@ -42,9 +42,9 @@
             "GET /control/counters",
             "GET /control/unknown");
 
-    private static byte[] answered(ControlServer server) {
+    private static byte[] answers(ControlServer server) {
         StringBuilder lines = new StringBuilder();
-        for (String line : CALLS) {
+        for (String line : REQUESTS) {
             int space = line.indexOf(' ');
             AdminRequest request = AdminRequest.parse(line.substring(0, space), line.substring(space + 1));
             new ControlRequestHandler(server).handle(request, (status, body) -> lines.append(line)
@@ -57,37 +57,37 @@
         return lines.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A replica that does not listen. */
+    /** Creates a replica that does not listen. */
     private static ControlServer server() throws ConfigurationException {
         return new ControlServer(ControlFile.read(ConfigurationTable.parse("control.toml", FILE, Map.of())));
     }
 
-    /** Runs a replica for two seconds from a time on; the time afterwards. */
+    /** Ticks a replica for two seconds, starting at {@code startMicros}; returns the time at the end. */
     private static long tick(ControlReplica replica, long startMicros) {
         long nowMicros = startMicros;
         for (int count = 0; count < TICKS; count++) {
             nowMicros += TICK_MICROS;
-            replica.tick(nowMicros, NOWHERE);
+            replica.tick(nowMicros, DISCARD);
         }
         return nowMicros;
     }
 
     @Test
-    void replicaThatIsNotReadyAnswersByteForByteAsStored() throws ConfigurationException {
-        StoredSamples.assertWritten("admin-calls-replica-starting.txt", answered(server()));
+    void replicaThatIsNotReadyAnswersAsStored() throws ConfigurationException {
+        StoredSamples.assertWritten("admin-calls-replica-starting.txt", answers(server()));
     }
 
     @Test
-    void replicaWithAnActiveVersionAnswersByteForByteAsStored() throws ConfigurationException {
+    void replicaWithAnActiveVersionAnswersAsStored() throws ConfigurationException {
         // given
         ControlServer server = server();
         ControlReplica replica = server.replica();
         byte[] content = "[zones]\n".getBytes(StandardCharsets.UTF_8);
         long nowMicros = tick(replica, server.nowMicros());
-        assertEquals(Optional.empty(), replica.propose(0, content, nowMicros, NOWHERE));
+        assertEquals(Optional.empty(), replica.propose(0, content, nowMicros, DISCARD));
         tick(replica, nowMicros);
         // when
-        byte[] answers = answered(server);
+        byte[] answers = answers(server);
         // then
         StoredSamples.assertWritten("admin-calls-replica.txt", answers);
     }
--- a/src/test/java/loadbalancer/control/server/SubscriberIdsTest.java
+++ b/src/test/java/loadbalancer/control/server/SubscriberIdsTest.java
@@ -26,13 +26,15 @@
     }
 
     @Test
-    void newAddressTakesTheIdOfOneThatIsIdle() {
+    void newAddressGetsTheIdOfAnIdleAddress() {
         // given
         for (int port = 1; port <= SubscriberIds.MAX_SUBSCRIBERS; port++) {
             ids.idOf(address(port), port == 7 ? 0 : 1);
         }
         assertEquals(
-                OptionalInt.empty(), ids.idOf(address(9_000), SubscriberIds.IDLE_TIMEOUT_MICROS - 1), "none is idle");
+                OptionalInt.empty(),
+                ids.idOf(address(9_000), SubscriberIds.IDLE_TIMEOUT_MICROS - 1),
+                "no address has been idle for long enough");
         for (int port = 1; port <= SubscriberIds.MAX_SUBSCRIBERS; port++) {
             if (port != 7) {
                 ids.idOf(address(port), SubscriberIds.IDLE_TIMEOUT_MICROS);
