--- a/src/main/java/loadbalancer/capacity/CapacityTable.java
+++ b/src/main/java/loadbalancer/capacity/CapacityTable.java
@@ -196,11 +196,11 @@
                     "`consensus`"));
         }
         if (has(ScaleMetric.CHANGE_ONE_AWAY)) {
-            double oneAway = atTarget(ScaleMetric.CHANGE_ONE_AWAY);
+            double oneUnreachableMillis = atTarget(ScaleMetric.CHANGE_ONE_AWAY);
             rows.add(new Row(
                     "all sidecars",
                     "a change, one sidecar away",
-                    oneAway,
+                    oneUnreachableMillis,
                     CapacityTarget.MAX_CHANGE_MILLIS,
                     "ms",
                     "change-one-away",
@@ -208,7 +208,7 @@
             rows.add(new Row(
                     "all sidecars",
                     "a second change right behind it",
-                    2 * oneAway,
+                    2 * oneUnreachableMillis,
                     CapacityTarget.MAX_CHANGE_MILLIS,
                     "ms",
                     "2 change-one-away",
--- a/src/main/java/loadbalancer/capacity/TrafficCounters.java
+++ b/src/main/java/loadbalancer/capacity/TrafficCounters.java
@@ -11,7 +11,7 @@
     private long datagramsOut;
     private long bytesIn;
     private long bytesOut;
-    /** Datagrams received, by the number of the sending member. */
+    /** Datagrams received, by the number of the sending member; at most one entry per member. */
     private final Map<Integer, Long> datagramsBySender = new HashMap<>();
 
     void countReceived(int from, int bytes) {
