--- a/src/main/java/loadbalancer/capacity/AdoptionLog.java
+++ b/src/main/java/loadbalancer/capacity/AdoptionLog.java
@@ -11,8 +11,8 @@
     /**
      * Adoptions of one version.
      *
-     * @param adoptions a member that restarts and adopts the version again counts each time
-     * @param lastMicros time of the last adoption, Unix time; 0 without any
+     * @param adoptions number of adoptions; a member that restarts and adopts the version again counts each time
+     * @param lastMicros Unix time of the last adoption; 0 without any
      */
     record Progress(int adoptions, long lastMicros) {}
 
--- a/src/main/java/loadbalancer/capacity/CapacityTable.java
+++ b/src/main/java/loadbalancer/capacity/CapacityTable.java
@@ -7,13 +7,15 @@
 
 /**
  * A table of the load on each role at the target size beside its budget, extrapolated from recorded slopes or
- * calculated. Pure. The table is part of docs/CAPACITY.md, so its texts can only change together with that page.
+ * calculated. Does no I/O. The table is part of docs/CAPACITY.md, so its texts can only change together with that page.
  */
 public final class CapacityTable {
     /** A row is over its budget above this ratio. */
     private static final double MAX_RATIO = 1;
-    /** Ratios from the first on are written without decimals, numbers from the second on in scientific notation. */
-    private static final double MIN_WHOLE_RATIO = 1_000, MIN_SCIENTIFIC = 1e9;
+    /** Ratios from this one on are written without decimals. */
+    private static final double MIN_WHOLE_RATIO = 1_000;
+    /** Values and ratios from this one on are written in scientific notation. */
+    private static final double MIN_SCIENTIFIC = 1e9;
 
     /** Header row and delimiter row of the table. */
     static final String HEADER = "| role | what | at 2,100 | budget | ratio | from | carried by |\n"
@@ -23,8 +25,8 @@
      * A row of the table.
      *
      * @param quantity what is compared with the budget
-     * @param value at the target size
-     * @param budget in the same unit
+     * @param value value of the quantity at the target size
+     * @param budget largest permitted value, in the same unit
      * @param formula metrics and constants from which the value is calculated
      * @param implementation package that carries the load, or what is missing
      */
--- a/src/main/java/loadbalancer/capacity/CapacityTarget.java
+++ b/src/main/java/loadbalancer/capacity/CapacityTarget.java
@@ -20,7 +20,7 @@
     public static final double MAX_ADDED_P99_MICROS = 1_600;
     /** Number of services that a call passes through, each calling the next. */
     public static final int CHAIN_DEPTH = 20;
-    /** Most attempts at a failing last service per request at the first. */
+    /** Most attempts at the last service of a chain, per request at the first, while the last service fails. */
     public static final double MAX_ATTEMPTS_PER_REQUEST = 1.2;
     /** IPv4 and UDP headers of a datagram (RFC 791, RFC 768). */
     public static final int DATAGRAM_HEADER_BYTES = 28;
@@ -31,9 +31,9 @@
     /** Size of the largest fleet in which sidecars gossip their requests in flight. */
     public static final int MAX_LOAD_MESSAGE_SIDECARS = 300;
 
-    /** Processor budget of a control replica: a third of a core, so that it can triple. */
+    /** Processor budget of a control replica: a third of a core, so that the load can triple. */
     public static final double MAX_REPLICA_CORES = 1.0 / 3;
-    /** Network budget of a control replica: a third of a link of 1 Gbit/s, so that it can triple. */
+    /** Network budget of a control replica: a third of a link of 1 Gbit/s, so that the load can triple. */
     public static final double MAX_REPLICA_BYTES_PER_SECOND = 125e6 / 3;
 
     private CapacityTarget() {}
--- a/src/main/java/loadbalancer/capacity/DatagramEndpoint.java
+++ b/src/main/java/loadbalancer/capacity/DatagramEndpoint.java
@@ -16,7 +16,7 @@
  * {@link #open}.
  */
 final class DatagramEndpoint {
-    /** Takes a datagram of a member, by its number. */
+    /** Receives each datagram with the number of the member that sent it. */
     interface Receiver {
         void receive(int from, byte[] datagram);
     }
--- a/src/main/java/loadbalancer/capacity/GossipLoad.java
+++ b/src/main/java/loadbalancer/capacity/GossipLoad.java
@@ -43,7 +43,7 @@
 
     private double requestsPerSecond;
     private long requests;
-    /** Whether requests in flight have changed since the last message, so that one is scheduled. */
+    /** Whether a message is scheduled because the requests in flight have changed since the last one. */
     private boolean messagePending;
 
     private ScheduledFuture<?> nextMessage;
--- a/src/main/java/loadbalancer/capacity/MinimalControlMember.java
+++ b/src/main/java/loadbalancer/capacity/MinimalControlMember.java
@@ -28,7 +28,7 @@
     private ControlReplica replica;
     private ControlClient client;
     private boolean silent;
-    /** Grows with each start; ticks of an earlier one are dropped. 0 before the first start. */
+    /** Incremented by each start; ticks of an earlier incarnation are dropped. 0 before the first start. */
     private int incarnation;
 
     MinimalControlMember(
--- a/src/main/java/loadbalancer/capacity/MinimalSidecar.java
+++ b/src/main/java/loadbalancer/capacity/MinimalSidecar.java
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Pauses the consensus and drops all received datagrams, as a stopped process with open sockets does, or ends that.
+     * Pauses the consensus and drops all received datagrams, as a stopped process with open sockets does, or resumes.
      */
     void setSilent(boolean newSilent) {
         silent = newSilent;
--- a/src/main/java/loadbalancer/capacity/ResourceUsage.java
+++ b/src/main/java/loadbalancer/capacity/ResourceUsage.java
@@ -5,7 +5,7 @@
 import loadbalancer.sidecar.CpuTime;
 
 /**
- * Resources that one process, or several together, used since its start, or within an interval if computed by
+ * Resources that one process, or the sum of several, has used since the start, or within an interval if computed by
  * {@link #since}.
  *
  * @param timeMicros Unix time of the measurement, or the length of the interval, in microseconds
--- a/src/main/java/loadbalancer/capacity/ScaleMetric.java
+++ b/src/main/java/loadbalancer/capacity/ScaleMetric.java
@@ -38,9 +38,12 @@
     SIDECAR_RESIDENT("kilobytes"),
     /** Processor time of a real sidecar without requests; the size is the length of its endpoint list. */
     SIDECAR_CORES("cores"),
-    /** Median time that sidecars add to a request through a chain of services; the size is the depth of the chain. */
+    /**
+     * Time that sidecars add to a request through a chain of services: the difference of the medians with and without
+     * sidecars; the size is the depth of the chain.
+     */
     CHAIN_ADDED("microseconds"),
-    /** 99th percentile of the time in {@link #CHAIN_ADDED}. */
+    /** As {@link #CHAIN_ADDED}, but the difference of the 99th percentiles. */
     CHAIN_ADDED_P99("microseconds"),
     /**
      * Natural logarithm of the attempts at the last hop per request at the first, while the last hop fails; the size is
--- a/src/main/java/loadbalancer/capacity/ScaleRun.java
+++ b/src/main/java/loadbalancer/capacity/ScaleRun.java
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Pauses the consensus of a member and drops all datagrams to it, or ends that. */
+    /** Pauses the consensus of a member and drops all datagrams to it, or resumes both. */
     public void setSilent(int member, boolean silent) throws IOException {
         hostOf(member).ask("silence " + member + " " + (silent ? 1 : 0));
     }
--- a/src/main/java/loadbalancer/control/ControlClient.java
+++ b/src/main/java/loadbalancer/control/ControlClient.java
@@ -19,12 +19,13 @@
 /**
  * A sidecar's client of the control tier. Subscribes to scopes, all at one replica, and migrates to the next replica
  * when that one no longer grants leases. Requests never wait for the client: they are decided by the current
- * {@link #activeStage}. Pure; times are in microseconds of a monotonic clock. Not thread-safe.
+ * {@link #activeStage}. Does no I/O; times are in microseconds of a monotonic clock. Not thread-safe.
  */
 public final class ControlClient {
     private static final int RENEWALS_PER_LEASE = 4;
     /**
-     * Number of consecutive rounds of lease requests without a lease on every scope after which the client migrates.
+     * The client migrates after this number of consecutive rounds of lease requests in which leases on some scopes were
+     * not granted.
      */
     private static final int MAX_UNANSWERED_ROUNDS = 2;
 
@@ -45,7 +46,7 @@
     private final SplittableRandom random;
     private final Map<Integer, Subscription> subscriptions = new LinkedHashMap<>();
     private final Map<Integer, Integer> scopeByRegisterId = new HashMap<>();
-    /** Scopes for which no lease was granted since the last round. */
+    /** Scopes for which no lease was granted since the last round of lease requests. */
     private final Set<Integer> awaitedScopes = new HashSet<>();
 
     private int replicaIndex;
--- a/src/main/java/loadbalancer/control/ControlGroup.java
+++ b/src/main/java/loadbalancer/control/ControlGroup.java
@@ -23,7 +23,10 @@
         String fleet, List<String> scopes, int voters, int replicas, long leaseMicros, long subscriberLeaseMicros) {
     public static final int MAX_SCOPES = 1_024;
 
-    /** @throws IllegalArgumentException if the numbers are out of bounds, or two scopes have the same register id */
+    /**
+     * @throws IllegalArgumentException if the number of scopes or the subscriber lease is out of bounds, or two scopes
+     *     have the same register id
+     */
     public ControlGroup {
         scopes = List.copyOf(scopes);
         if (scopes.isEmpty() || scopes.size() > MAX_SCOPES) {
--- a/src/main/java/loadbalancer/control/ControlReplica.java
+++ b/src/main/java/loadbalancer/control/ControlReplica.java
@@ -13,11 +13,11 @@
 
 /**
  * One replica of the control tier: a member of each scope's register that grants leases to sidecars. Registers are
- * independent, so a change of one scope never waits for a change of another. Pure; times are in microseconds of a
- * monotonic clock. Not thread-safe.
+ * independent, so a change of one scope never waits for a change of another. Does no I/O; times are in microseconds of
+ * a monotonic clock. Not thread-safe.
  */
 public final class ControlReplica {
-    /** Interval between ticks; messages of all registers that are due at the same tick share datagrams. */
+    /** Interval between ticks; the messages that all registers send in one tick share datagrams. */
     static final long TICK_INTERVAL_MICROS = 20_000;
 
     /** The register of each scope, by scope index. */
@@ -96,7 +96,10 @@
         return registers[scope].rejectionReason();
     }
 
-    /** Numbers of the replicas that the change of a scope led by this one waits for; empty if it leads none. */
+    /**
+     * If this replica leads a change of a scope, the numbers of the replicas that the change waits for; empty if it
+     * leads none.
+     */
     public BitSet awaitedReplicas(int scope) {
         return registers[scope].awaitedMembers();
     }
--- a/src/main/java/loadbalancer/control/ControlSimulation.java
+++ b/src/main/java/loadbalancer/control/ControlSimulation.java
@@ -271,7 +271,7 @@
         return process.isAlive() ? activeStage(process, scope) : new ActiveStage(0, -1, 0, 0, false);
     }
 
-    /** Whether a process has a valid lease on a settled stage with this version. */
+    /** Whether a process has a valid lease on a stage that has this version and is not joint. */
     public boolean hasAdopted(int number, int scope, long version) {
         ActiveStage active = activeStage(number, scope);
         return active.leaseValid() && !active.isJoint() && active.newVersion() == version;
@@ -349,7 +349,7 @@
         private int incarnation;
 
         private long pausedUntilMicros;
-        /** The stage of each scope that was checked last; null before the first check. */
+        /** The last checked stage of each scope; entries are null before the first check. */
         private ActiveStage[] checkedStages;
 
         SimulatedProcess(int number, List<Integer> scopes, double clockRate) {
--- a/src/main/java/loadbalancer/control/ControlSoak.java
+++ b/src/main/java/loadbalancer/control/ControlSoak.java
@@ -29,7 +29,7 @@
     private final ControlSimulation simulation;
     private final BitSet busyScopes = new BitSet();
     private final List<Long> latenciesMicros = new ArrayList<>();
-    private int unfinished;
+    private int timedOutChanges;
     private int pendingChanges;
     private int proposedChanges;
     private boolean finished;
@@ -62,7 +62,7 @@
         long[] sortedMicros =
                 latenciesMicros.stream().mapToLong(Long::longValue).toArray();
         Arrays.sort(sortedMicros);
-        return new Outcome(sortedMicros, unfinished + pendingChanges, simulation.violations());
+        return new Outcome(sortedMicros, timedOutChanges + pendingChanges, simulation.violations());
     }
 
     private long drawExponentialMicros(long meanMicros) {
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Restarts or pauses a random process. A voter is spared while another one is down or without memory, so that of
-     * three voters or more a majority never loses its memory.
+     * Restarts or pauses a random process. A voter is left running while any voter is down, paused or without
+     * memory, so that with three voters or more a majority always keeps its memory.
      */
     private void restartProcess() {
         if (finished) {
@@ -174,7 +174,7 @@
             if (adopted) {
                 latenciesMicros.add(elapsedMicros);
             } else {
-                unfinished++;
+                timedOutChanges++;
             }
             busyScopes.clear(scope);
             pendingChanges--;
@@ -218,7 +218,7 @@
      *
      * @param latenciesMicros time of each change from its proposal until all reachable sidecars have adopted it, in
      *     ascending order
-     * @param unfinished number of changes that timed out
+     * @param unfinished number of changes that timed out or were pending at the end
      * @param violations violations of the simulation's invariant
      */
     public record Outcome(long[] latenciesMicros, int unfinished, List<String> violations) {
--- a/src/main/java/loadbalancer/control/server/ControlServer.java
+++ b/src/main/java/loadbalancer/control/server/ControlServer.java
@@ -48,7 +48,7 @@
     private final ControlReplica replica;
     private final Map<InetSocketAddress, Integer> replicaIds = new HashMap<>();
     private final SubscriberIds subscribers;
-    /** The stage of each scope that was logged last; null before the first one. */
+    /** The last logged stage of each scope; entries are null before the first one is logged. */
     private final ActiveStage[] loggedStages;
 
     private final ThreadPoolExecutor fileReader = new ThreadPoolExecutor(
@@ -223,13 +223,14 @@
         return file.scopes();
     }
 
-    /** Number of addresses, other than replicas, that have sent datagrams and still have an id. */
+    /** Number of addresses, without those of replicas, that have sent datagrams and still have an id. */
     int subscribers() {
         return subscribers.size();
     }
 
     /**
-     * Number of datagrams and messages that were malformed, of another tier, or of sidecars beyond the largest number.
+     * Number of datagrams and messages that were malformed, of another tier or scope, not allowed from their sender, or
+     * from an address that got no subscriber id.
      */
     long droppedDatagrams() {
         return datagramsWithoutId + replica.droppedMessages();
--- a/src/main/java/loadbalancer/control/server/SubscriberIds.java
+++ b/src/main/java/loadbalancer/control/server/SubscriberIds.java
@@ -9,9 +9,9 @@
 import java.util.OptionalInt;
 
 /**
- * Assigns ids to the addresses from which sidecars send datagrams, in order of their first one. The number of ids is
- * bounded. When all are in use, a new address gets the id of the address that has been idle longest, if that was far
- * longer than any lease, or else none. Pure.
+ * Assigns ids to the addresses from which sidecars send datagrams, in the order of their first datagrams. The number of
+ * ids is bounded. When all are in use, a new address gets the id of the address that has been idle longest, if that has
+ * been idle for {@link #IDLE_TIMEOUT_MICROS}, and otherwise none. Does no I/O.
  */
 final class SubscriberIds {
     static final int MAX_SUBSCRIBERS = 4_096;
--- a/src/test/java/loadbalancer/capacity/ControlRunTest.java
+++ b/src/test/java/loadbalancer/capacity/ControlRunTest.java
@@ -16,7 +16,7 @@
     private static final ControlFleet FLEET = new ControlFleet(4, 3, 24, 6, 2, 2_000_000, 1_200_000);
 
     @Test
-    void allReachableSubscribersAdoptChangesWithoutASidecarAndAReplica() throws Exception {
+    void allReachableSubscribersAdoptChangesDespiteALostSidecarAndReplica() throws Exception {
         try (ControlRun run = new ControlRun(FLEET)) {
             run.startReplicas();
             run.startSidecars();
--- a/src/test/java/loadbalancer/control/ControlSimulationTest.java
+++ b/src/test/java/loadbalancer/control/ControlSimulationTest.java
@@ -22,7 +22,7 @@
 
 /** The control tier and its sidecars on virtual time, with the faults that occur in a fleet. */
 class ControlSimulationTest {
-    private static final IntPredicate FAR_SIDECARS = number -> number >= REPLICAS + SIDECARS / 2;
+    private static final IntPredicate SECOND_HALF_OF_SIDECARS = number -> number >= REPLICAS + SIDECARS / 2;
 
     @Test
     void violationCausedByExcessiveClockDriftIsDetected() {
@@ -35,7 +35,7 @@
         assertTrue(elapsedMicros >= 0);
         simulation.run(5 * SECOND_MICROS);
         // when
-        simulation.partition(number -> number == 5 || number == 6 || FAR_SIDECARS.test(number));
+        simulation.partition(number -> number == 5 || number == 6 || SECOND_HALF_OF_SIDECARS.test(number));
         simulation.propose(0, 0, content(2));
         simulation.run(10 * SECOND_MICROS);
         // then
@@ -201,22 +201,23 @@
         tier.assertNoViolations();
     }
 
-    /** Three of the five voters and half of the sidecars are on one side. */
+    /** Three of the five voters and half of the sidecars are on the majority side, the others on the minority side. */
     @Test
     void changeContinuesOnTheMajoritySideOfAPartitionAndReachesAllAfterIt() {
         for (long afterMicros = 0; afterMicros < 300_000; afterMicros += 60_000) {
             // given
             TestTier tier = new TestTier(10 + afterMicros);
-            IntPredicate far = number -> number == 3 || number == 4 || number == 6 || FAR_SIDECARS.test(number);
+            IntPredicate minoritySide =
+                    number -> number == 3 || number == 4 || number == 6 || SECOND_HALF_OF_SIDECARS.test(number);
             tier.propose(0, 0, 1);
             tier.simulation.run(afterMicros);
             // when
-            tier.simulation.partition(far);
+            tier.simulation.partition(minoritySide);
             // then
             long elapsedMicros = tier.simulation.runUntil(
-                    () -> tier.simulation.allHaveAdopted(far.negate(), 0, version(1)), 9 * SECOND_MICROS);
+                    () -> tier.simulation.allHaveAdopted(minoritySide.negate(), 0, version(1)), 9 * SECOND_MICROS);
             assertTrue(elapsedMicros >= 0, "partition after " + afterMicros + " us");
-            long nextMicros = tier.change(1, 0, 2, far.negate());
+            long nextMicros = tier.change(1, 0, 2, minoritySide.negate());
             assertTrue(
                     nextMicros >= 0 && nextMicros < 9 * SECOND_MICROS,
                     "next change on the majority side: " + nextMicros + " us");
--- a/src/test/java/loadbalancer/control/TestTier.java
+++ b/src/test/java/loadbalancer/control/TestTier.java
@@ -89,7 +89,7 @@
                 () -> simulation.allHaveAdopted(reachable, scope, version(number)), CHANGE_TIMEOUT_MICROS);
     }
 
-    /** Runs until all subscribers have adopted a content; returns false if they have not within a time. */
+    /** Runs until all subscribers have adopted a content; returns false if some have not after {@code seconds}. */
     boolean adoptWithin(int scope, int number, int seconds) {
         return simulation.runUntil(() -> allHaveAdopted(scope, number), seconds * SECOND_MICROS) >= 0;
     }
