--- a/src/main/java/loadbalancer/admin/AdminRequestParser.java
+++ b/src/main/java/loadbalancer/admin/AdminRequestParser.java
@@ -84,7 +84,10 @@
                 : new AdminRequest.Unrecognized(HTTP_BAD_METHOD, "this call takes " + expectedMethod);
     }
 
-    /** Decodes percent-encoding (RFC 3986, 2.1); empty if the result is empty, too long or not valid UTF-8. */
+    /**
+     * Decodes percent-encoding (RFC 3986, 2.1), in which a plus sign stands for itself. Empty if the result is empty,
+     * too long or not valid UTF-8, or if the text has an invalid escape or characters other than visible ASCII.
+     */
     private static Optional<String> percentDecode(String text) {
         ByteBuffer decoded = ByteBuffer.allocate(text.length());
         for (int index = 0; index < text.length(); index++) {
--- a/src/main/java/loadbalancer/core/Exchange.java
+++ b/src/main/java/loadbalancer/core/Exchange.java
@@ -46,7 +46,10 @@
         this.trace = trace;
     }
 
-    /** Responds to the client, by one call of one of its first three methods; by none if the client disconnects. */
+    /**
+     * Responds to the client. One of the first three methods is called once; none is called if the response is
+     * streamed, if the front end itself has responded with an error, or if the client has disconnected.
+     */
     public interface Responder {
         /** Responds with the upstream's body and takes ownership of it. */
         void serve(ByteBuf body);
--- a/src/main/java/loadbalancer/core/LoopLatency.java
+++ b/src/main/java/loadbalancer/core/LoopLatency.java
@@ -8,7 +8,7 @@
  * one. No I/O; times are {@link System#nanoTime} nanoseconds.
  */
 public final class LoopLatency {
-    /** An iteration whose first event is handled within this time did not sleep: the event was there before it. */
+    /** An iteration whose first event is handled within this time did not sleep: the event had arrived before. */
     private static final long MAX_AWAKE_NANOS = 1_000_000;
 
     private static final long NONE = Long.MIN_VALUE;
--- a/src/main/java/loadbalancer/core/RequestClasses.java
+++ b/src/main/java/loadbalancer/core/RequestClasses.java
@@ -72,7 +72,7 @@
                 requestClass.streaming());
     }
 
-    /** The current class of this name, or the one of the initial configuration if the current one lacks it. */
+    /** The current class of this name, or that of the initial configuration if the current one has no such class. */
     public RequestClass latest(String name) {
         return current.getOrDefault(name, initial.get(name));
     }
--- a/src/main/java/loadbalancer/core/Requests.java
+++ b/src/main/java/loadbalancer/core/Requests.java
@@ -18,7 +18,10 @@
  * answered exactly once. Must be used on the event loop only.
  */
 public final class Requests {
-    /** Time after the deadline at which a request fails that the balancer has not answered at the deadline. */
+    /**
+     * Time after the deadline at which an unanswered request fails. The balancer normally answers at the deadline, when
+     * the attempts time out.
+     */
     private static final long OVERDUE_MICROS = 2_000;
     /** Waiting time after which the client's connection is checked for a disconnect before another attempt is sent. */
     private static final long CLIENT_CHECK_MICROS = 100_000;
@@ -124,7 +127,10 @@
         dispatcher.call(balancer -> balancer.onRequest(clock.nowMicros(), exchange.request()), () -> fail(exchange));
     }
 
-    /** Sets the deadline of a request whose body was completed after its admission; the time counts from there. */
+    /**
+     * Sets the new deadline of a request whose body became complete after its admission, since the time for the
+     * response counts from the last byte of the body.
+     */
     public void bodyComplete(Exchange exchange, long deadlineMicros) {
         if (!exchange.answered) {
             exchange.deadlineMicros = deadlineMicros;
--- a/src/main/java/loadbalancer/http1/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/ClientConnection.java
@@ -158,8 +158,8 @@
             respondAndClose(rejection);
             return;
         }
-        // Sent while a response is pending, the interim response would be taken for that one. Without it the client
-        // sends its body anyway, after a timeout.
+        // While another response is pending, the client would take the interim response for that one. Without the
+        // interim response the client sends its body anyway, after a timeout.
         if (HttpUtil.is100ContinueExpected(request) && hasNoPendingResponse()) {
             channel.writeAndFlush(HttpMessages.continueResponse());
         }
@@ -323,7 +323,10 @@
         respond(HttpUtil.isKeepAlive(request), status, Unpooled.EMPTY_BUFFER, 0);
     }
 
-    /** Responds to the request being handled; takes ownership of {@code body}. Without a Retry-After that time is 0. */
+    /**
+     * Responds to the request being handled; takes ownership of {@code body}. {@code retryAfterMicros} is 0 for no
+     * Retry-After.
+     */
     void respond(boolean keepAlive, HttpResponseStatus status, ByteBuf body, long retryAfterMicros) {
         boolean keepsOpen = keepAlive && !shouldCloseAfterResponse() && assembler.largeBody() == null;
         responseWritten(
@@ -391,7 +394,10 @@
         context.fireChannelWritabilityChanged();
     }
 
-    /** Whether the server drains and no further request of this client was received, all of which need a response. */
+    /**
+     * Whether the server closes connections and has received no further request of this client. A received request
+     * still needs a response, even if only a part of it was received.
+     */
     boolean shouldCloseAfterResponse() {
         return server.isClosingConnections() && pipeline.isEmpty() && !assembler.isReading();
     }
--- a/src/main/java/loadbalancer/http1/ClientExchange.java
+++ b/src/main/java/loadbalancer/http1/ClientExchange.java
@@ -70,7 +70,7 @@
         UpstreamCall call = upstreams.newCall(
                 upstream,
                 deadlineMicros,
-                waitMicros -> outgoing.toMessage(waitMicros, span),
+                remainingMicros -> outgoing.toMessage(remainingMicros, span),
                 listener,
                 new StreamedResponse(connection, keepAlive, clientSupportsChunked),
                 largeBody);
--- a/src/main/java/loadbalancer/http1/HeaderNames.java
+++ b/src/main/java/loadbalancer/http1/HeaderNames.java
@@ -16,7 +16,7 @@
     public static final AsciiString RETRIED = AsciiString.cached("X-Resent");
     /** The client's estimate of the request's work, in microseconds. */
     public static final AsciiString COST_ESTIMATE = AsciiString.cached("X-Estimate");
-    /** Idempotency key, within the window of the request class. */
+    /** Idempotency key, which makes retries of the request idempotent within the window of its class. */
     public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
     /** W3C Trace Context: trace, parent span and flags. */
     public static final AsciiString TRACE_PARENT = AsciiString.cached("traceparent");
--- a/src/main/java/loadbalancer/http1/HttpMessages.java
+++ b/src/main/java/loadbalancer/http1/HttpMessages.java
@@ -50,7 +50,7 @@
         return response;
     }
 
-    /** The head of a streamed response. Without a length (-1) and chunks, the end of the connection ends the body. */
+    /** The head of a streamed response. With no length (-1) and no chunks, the end of the connection ends the body. */
     static HttpResponse streamHead(long lengthBytes, boolean chunked, boolean keepsOpen) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, UNVALIDATED);
         if (lengthBytes >= 0) {
--- a/src/main/java/loadbalancer/http1/HttpServer.java
+++ b/src/main/java/loadbalancer/http1/HttpServer.java
@@ -24,7 +24,10 @@
 public final class HttpServer {
     /** Time after a stop request during which the application may still open connections. */
     private static final long STOP_GRACE_MILLIS = 600;
-    /** Time beyond {@link #STOP_GRACE_MILLIS} after which the listener is closed even if connections still arrive. */
+    /**
+     * Time beyond {@link #STOP_GRACE_MILLIS} after which the listener is closed even if connections still arrive,
+     * because an application that still opens connections does not know of the stop.
+     */
     private static final long MAX_LISTEN_OVERRUN_MILLIS = 1_000;
     /** A connection that was active within this time may have a request in transit and is not closed. */
     private static final long QUIET_PERIOD_MILLIS = 150;
@@ -32,7 +35,10 @@
     private static final long STOP_CHECK_MILLIS = 20;
     private static final long SWEEP_MILLIS = 100;
     private static final int BACKLOG = 256;
-    /** Smoothing factor of {@link #reuseFraction}, which averages over about 50 requests. */
+    /**
+     * Smoothing factor of {@link #reuseFraction}, which averages over about 50 requests: enough to show how an
+     * application uses its connections.
+     */
     private static final double REUSE_GAIN = 0.02;
     /** Lower bound of the idle limit, because the next request may be in transit. */
     private static final long MIN_IDLE_MICROS = 250_000;
--- a/src/main/java/loadbalancer/http1/RequestFields.java
+++ b/src/main/java/loadbalancer/http1/RequestFields.java
@@ -27,7 +27,7 @@
         return values.size() == 1 && isVisibleAscii(values.get(0), MAX_TOKEN_CHARS) ? values.get(0) : "";
     }
 
-    /** The single value of a header as a number of at most nine digits; -1 if it is none. */
+    /** The single value of a header, a number of at most nine digits; -1 if the value is missing or anything else. */
     static long parseNumber(HttpHeaders headers, CharSequence name) {
         String text = singleToken(headers, name);
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/loadbalancer/http1/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/UpstreamConnection.java
@@ -28,7 +28,7 @@
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
     private static final AttributeKey<UpstreamConnection> KEY =
             AttributeKey.valueOf(UpstreamConnection.class, "connection");
-    /** Body bytes that must have been received before a response is streamed, as a head alone is no proof of one. */
+    /** Body bytes that must be received before a response is streamed, as a head alone may be garbage. */
     private static final int MIN_STREAMED_BYTES = 1024;
 
     private static final int MAX_BODY_COMPONENTS = 1024;
--- a/src/main/java/loadbalancer/http1/Upstreams.java
+++ b/src/main/java/loadbalancer/http1/Upstreams.java
@@ -137,7 +137,8 @@
                 this,
                 upstream,
                 deadlineMicros,
-                waitMicros -> HttpMessages.request(HttpMethod.GET, HealthCheck.LOAD_REPORT_PATH, Unpooled.EMPTY_BUFFER),
+                remainingMicros ->
+                        HttpMessages.request(HttpMethod.GET, HealthCheck.LOAD_REPORT_PATH, Unpooled.EMPTY_BUFFER),
                 listener);
     }
 
--- a/src/main/java/loadbalancer/storage/StoredFileException.java
+++ b/src/main/java/loadbalancer/storage/StoredFileException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown if bytes are no intact file of the expected format, so that none of them may be used. */
+/** Thrown if a file is torn, damaged or not of the expected format. Nothing of its content may be used. */
 public final class StoredFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/loadbalancer/handover/HandoverFolderTest.java
+++ b/src/test/java/loadbalancer/handover/HandoverFolderTest.java
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A process that starts ignores such a file. */
+    /** A process ignores a state file whose format version it does not know. */
     @Test
     void stateFileOfALaterVersionIsIgnored() throws Exception {
         byte[] later = new String(new HandoverState("n0", SNAPSHOT).encode(), StandardCharsets.UTF_8)
