--- a/src/main/java/loadbalancer/balancing/BalancerContext.java
+++ b/src/main/java/loadbalancer/balancing/BalancerContext.java
@@ -46,7 +46,7 @@
     /** Initial estimate of an upstream's cores. */
     final double defaultCores;
     /** Index of the sidecar's zone in the settings. */
-    final int localZone;
+    final int localZoneIndex;
 
     BalancerContext(Settings settings, RoutingConstraints constraints, PeerLoad peerLoad, long seed, Actions actions) {
         this.settings = settings;
@@ -60,6 +60,6 @@
                 settings.prices().connection() > 0 && settings.prices().handshake() > 0;
         loadUnknown = unreported && settings.sidecarCount() > SIDECARS_PER_UPSTREAM;
         defaultCores = unreported ? UNREPORTED_CORES : 1;
-        localZone = Math.max(0, settings.zones().indexOf(settings.zone()));
+        localZoneIndex = Math.max(0, settings.zones().indexOf(settings.zone()));
     }
 }
--- a/src/main/java/loadbalancer/balancing/CapacityCheck.java
+++ b/src/main/java/loadbalancer/balancing/CapacityCheck.java
@@ -94,7 +94,7 @@
 
     /**
      * Returns whether a request may be sent to an address at which an unknown service accepts connections:
-     * one at a time, and only idempotent requests, which may be lost.
+     * one at a time, and only idempotent requests, which can be retried if they are lost there.
      */
     private static boolean mayTryUnknownService(TrackedRequest request, TrackedUpstream upstream) {
         return upstream.inFlight + upstream.openStreams == 0
--- a/src/main/java/loadbalancer/balancing/FleetGossip.java
+++ b/src/main/java/loadbalancer/balancing/FleetGossip.java
@@ -86,7 +86,7 @@
         arrivals.measure(nowMicros);
         sentCount++;
         for (int zone = 0; zone < zoneRates.length; zone++) {
-            double ownRate = zone == context.localZone ? arrivals.requestsPerSecond() : 0;
+            double ownRate = zone == context.localZoneIndex ? arrivals.requestsPerSecond() : 0;
             zoneRates[zone] += (ownRate - zoneRates[zone]) * Math.max(MIN_OWN_RATE_GAIN, 1.0 / sentCount);
         }
         RateGossip message = emptyMessage();
--- a/src/main/java/loadbalancer/balancing/OutlierDetector.java
+++ b/src/main/java/loadbalancer/balancing/OutlierDetector.java
@@ -21,7 +21,10 @@
     private static final long BASE_EJECTION_MICROS = 500_000;
     private static final long MAX_EJECTION_MICROS = 8_000_000;
     private static final int MAX_DOUBLINGS = 10;
-    /** Number of previous ejections assumed at least when an upstream with free cores rejects a request. */
+    /**
+     * Least number of ejections that is counted for an upstream before it is ejected for rejecting a request
+     * despite free cores, so that this ejection is longer than a first one for other failures.
+     */
     private static final int MIN_EJECTIONS_AFTER_REJECTION = 2;
 
     /**
--- a/src/main/java/loadbalancer/balancing/PendingQueue.java
+++ b/src/main/java/loadbalancer/balancing/PendingQueue.java
@@ -5,7 +5,8 @@
 
 /**
  * Requests that wait for capacity, ordered by {@link TrackedRequest#queueOrderMicros}, and the timer of their
- * sweeps.
+ * sweeps. A sweep goes through the whole queue, sends the requests that find capacity and rejects or fails
+ * those that are too late.
  */
 final class PendingQueue {
     /** Name of the sweep timer, part of the simulator's wire protocol. */
@@ -24,7 +25,7 @@
         this.context = context;
     }
 
-    /** Inserts the request behind all requests with the same or a lower order. */
+    /** Inserts the request behind all requests with the same or an earlier order. */
     void add(TrackedRequest request) {
         request.queued = true;
         int position = requests.size();
--- a/src/main/java/loadbalancer/balancing/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/balancing/RequestDispatcher.java
@@ -87,14 +87,14 @@
     private void enqueue(long nowMicros, TrackedRequest request) {
         boolean tooLate = nowMicros >= latestStartMicros(request);
         if (tooLate || context.constraints.isUnservable(nowMicros, request.arrival)) {
-            // The next sweep would be too late, or no upstream can ever take the request.
+            // The request would be too late at the next sweep, or no upstream can ever take it.
             rejectOrFail(request);
         } else {
             queue.add(request);
         }
     }
 
-    /** Handles the sweep timer. */
+    /** Sweeps the queue when the sweep timer fires, see {@link PendingQueue}. */
     void sweep(long nowMicros) {
         queue.recordSweep();
         dispatchQueue(nowMicros, true);
--- a/src/main/java/loadbalancer/balancing/RequestSplit.java
+++ b/src/main/java/loadbalancer/balancing/RequestSplit.java
@@ -12,8 +12,8 @@
  */
 final class RequestSplit {
     /**
-     * Interval at which Eq. (4) is solved, microseconds; short compared with the seconds in which rates
-     * change.
+     * Interval at which Eq. (4) is solved, microseconds; short compared with the seconds in which speeds and
+     * rates change.
      */
     private static final long SOLVE_INTERVAL_MICROS = 100_000;
     /**
@@ -146,7 +146,7 @@
         bestServiceTimeFactor = Math.min(bestServiceTimeFactor, upstream.serviceTimeFactor() / warmupFactor);
         allZones.add(upstream);
         if (subsets.prefersLocalZone()) {
-            boolean local = upstream.zoneIndex == context.localZone;
+            boolean local = upstream.zoneIndex == context.localZoneIndex;
             (local ? localZone : otherZones).add(upstream);
         }
         if (hasShare && warmupFactor < 1) {
--- a/src/main/java/loadbalancer/balancing/ServiceTimeEstimator.java
+++ b/src/main/java/loadbalancer/balancing/ServiceTimeEstimator.java
@@ -12,8 +12,8 @@
     /** Smallest multiple of the gain with which a response changes the estimate of its machine type. */
     private static final double MIN_MACHINE_TYPE_GAIN_MULTIPLE = 0.25;
     /**
-     * Factor by which an upstream must differ from its machine type to deviate; less is noise of the
-     * estimates.
+     * Factor above which the difference between an upstream and its machine type counts as a deviation, so
+     * that the upstream forms a group of its own; smaller differences are within the noise of the estimates.
      */
     private static final double DEVIATION_THRESHOLD = 1.6;
     /**
--- a/src/main/java/loadbalancer/balancing/SlowStart.java
+++ b/src/main/java/loadbalancer/balancing/SlowStart.java
@@ -12,8 +12,8 @@
     /** Number of slots that an overload window can overlap. */
     private static final double SLOTS_PER_WINDOW = 3;
     /**
-     * Divisor in place of that number if loads are sampled; lower, as each sidecar sees what others have
-     * sent.
+     * Used in place of {@link #SLOTS_PER_WINDOW} if loads are sampled; lower, because each sidecar sees what
+     * others have sent before it.
      */
     private static final double SAMPLED_SLOTS_PER_WINDOW = 1.5;
 
@@ -43,8 +43,8 @@
      * Returns whether this sidecar's share of the budget of an upstream in slow start allows this much more
      * work.
      *
-     * <p>A slot is half an overload window. In each slot the sidecars together may send as many mean requests
-     * as a third of a window's budget holds. Each sidecar gets an equal share; the remainder goes to the
+     * <p>A slot is half an overload window. In each slot the sidecars together may send as many requests of
+     * mean work as fit a third of a window's budget. Each sidecar gets an equal share; the remainder goes to the
      * first sidecars in an order that depends on upstream and slot. If loads are sampled there are twice as
      * many requests per slot, and the sidecars take their turns one after the other.
      */
--- a/src/main/java/loadbalancer/balancing/SubsetSelection.java
+++ b/src/main/java/loadbalancer/balancing/SubsetSelection.java
@@ -55,7 +55,7 @@
      * Returns the share of this sidecar's requests that stays in the local zone, as of the last selection.
      */
     double localZoneShare() {
-        return zoneShares[context.localZone];
+        return zoneShares[context.localZoneIndex];
     }
 
     /** Selects the subset from the ready upstreams and updates the zone shares. */
@@ -100,10 +100,10 @@
 
     private void addArc(List<TrackedUpstream> subset, List<TrackedUpstream> members, int zone, double targetArcSize) {
         int sidecarIndex = context.settings.sidecarIndex();
-        // Rounds up for some sidecar indexes and down for others, so that the mean over many sidecars is
-        // right.
+        // Rounds up for some sidecar indexes and down for others, so that the mean over many sidecars is the
+        // target size.
         double rounded = Math.floor(targetArcSize + sidecarIndex * PLASTIC_RATIO % 1);
-        double arcSize = Math.max(zone == context.localZone ? 1 : 0, rounded);
+        double arcSize = Math.max(zone == context.localZoneIndex ? 1 : 0, rounded);
         int start = (int) (sidecarIndex * GOLDEN_RATIO % 1 * members.size());
         for (int i = 0; i < Math.min(arcSize, members.size()); i++) {
             subset.add(members.get((i + start) % members.size()));
@@ -141,7 +141,7 @@
         if (!prefersLocalZone() || !context.loadUnknown) {
             return shares;
         }
-        int localZone = context.localZone;
+        int localZone = context.localZoneIndex;
         double meanRate = gossip.freshMeanRate(nowMicros);
         double localShare = meanRate <= 0
                 ? 1
--- a/src/main/java/loadbalancer/balancing/TrackedUpstream.java
+++ b/src/main/java/loadbalancer/balancing/TrackedUpstream.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import loadbalancer.balancing.Balancer.Upstream;
 
-/** State of one upstream, from its first listing until it is removed and its last attempt has ended. */
+/** State of one upstream, from its first listing until it is removed and has no requests in flight. */
 final class TrackedUpstream {
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
@@ -19,7 +19,7 @@
     Upstream endpoint;
 
     boolean ready;
-    /** Whether it is no longer listed; it is kept until its last attempts have ended. */
+    /** Whether it is no longer listed; the directory keeps it until it has no requests in flight. */
     boolean removed;
     /** Weight in the draw: p_i / k_i of Eq. (4) times the constraints' weight and the peers' trust factor. */
     double selectionWeight;
@@ -39,9 +39,9 @@
     long lastResponseMicros;
     /** Attempts of this sidecar that it does not hold according to its last load report. */
     int lostAttempts;
-    /** Requests of other sidecars that it held at its last load report. */
+    /** Requests of other sidecars that it held at its last load report or was assumed to hold when full. */
     double peerInFlight;
-    /** Time of its last load report, microseconds. */
+    /** Time of its last load report, or at which it was last marked full without one; microseconds. */
     long loadReportedMicros = NEVER_MICROS;
     /** Weighted failures since the last success or ejection. */
     int failureScore;
--- a/src/main/java/loadbalancer/balancing/UpstreamDirectory.java
+++ b/src/main/java/loadbalancer/balancing/UpstreamDirectory.java
@@ -87,14 +87,14 @@
     }
 
     /**
-     * Returns whether a removed upstream has no attempts in flight and can be forgotten. Replaced upstreams
-     * get new ids, so keeping all of them would leak memory.
+     * Returns whether the upstream is removed and has no requests in flight, apart from streams, so that it
+     * can be forgotten. Replaced upstreams get new ids, so keeping all of them would leak memory.
      */
     private static boolean canForget(TrackedUpstream upstream) {
         return upstream.removed && upstream.inFlight == 0;
     }
 
-    /** Forgets the upstream if it is removed and its last attempt has ended. */
+    /** Forgets the upstream if it is removed and has no requests in flight. */
     void forgetIfDone(TrackedUpstream upstream) {
         if (canForget(upstream)) {
             upstreams.remove(upstream.id, upstream);
--- a/src/main/java/loadbalancer/balancing/UpstreamPicker.java
+++ b/src/main/java/loadbalancer/balancing/UpstreamPicker.java
@@ -26,9 +26,10 @@
 
     /**
      * Returns the less busy of two upstreams drawn by p_i / k_i among those with capacity, or null if the
-     * request has to wait. Upstreams in slow start whose budget is this sidecar's turn come first. Where
-     * crossing zones has a price, the local zone is tried next, or the other zones for the share of requests
-     * that an overloaded local zone sends there; then any upstream with a free core, then any with capacity.
+     * request has to wait. An upstream in slow start comes first if it has a free core and budget left for
+     * this sidecar. Where crossing zones has a price, the local zone is tried next, or the other zones for
+     * the share of requests that an overloaded local zone sends there; then any upstream with a free core,
+     * then any with capacity.
      */
     TrackedUpstream pick(long nowMicros, TrackedRequest request) {
         split.refresh(nowMicros);
--- a/src/main/java/loadbalancer/balancing/WorkEstimator.java
+++ b/src/main/java/loadbalancer/balancing/WorkEstimator.java
@@ -7,7 +7,8 @@
 import loadbalancer.balancing.Balancer.Settings;
 
 /**
- * Estimates the work of requests, in microseconds on a standard core: by class, and the mean over arrivals.
+ * Estimates the work of requests by class, and its mean over arrivals. Work is measured in microseconds on a
+ * standard core, which is one of service-time factor 1.
  */
 final class WorkEstimator {
     /** Multiple of the expected value at which a single observation is capped, as costs have long tails. */
--- a/src/test/java/loadbalancer/balancing/FleetGossipTest.java
+++ b/src/test/java/loadbalancer/balancing/FleetGossipTest.java
@@ -26,7 +26,7 @@
         assertEquals(2, harness.actionsStartingWith("gossip").size());
     }
 
-    /** Messages may be lost, repeated or wrong; they only change the estimate of the fleet's request rate. */
+    /** Messages may be malformed or come from an unknown index; they must not affect requests. */
     @Test
     void ignoresMalformedMessages() {
         BalancerHarness harness = new BalancerHarness().start().endpointList(A);
--- a/src/test/java/loadbalancer/balancing/TwoChoicesTest.java
+++ b/src/test/java/loadbalancer/balancing/TwoChoicesTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void breaksTiesByShare() {
+    void breaksTiesBySelectionWeight() {
         BalancerHarness harness = new BalancerHarness().start().endpointList(A, B);
 
         harness.request("first");
