--- a/src/main/java/loadbalancer/balancing/SlowStart.java
+++ b/src/main/java/loadbalancer/balancing/SlowStart.java
@@ -44,9 +44,9 @@
      * work.
      *
      * <p>A slot is half an overload window. In each slot the sidecars together may send as many requests of
-     * mean work as fit a third of a window's budget. Each sidecar gets an equal share; the remainder goes to the
-     * first sidecars in an order that depends on upstream and slot. If loads are sampled there are twice as
-     * many requests per slot, and the sidecars take their turns one after the other.
+     * mean work as fit a third of a window's budget. Each sidecar gets an equal share; the remainder goes to
+     * the first sidecars in an order that depends on upstream and slot. If loads are sampled there are twice
+     * as many requests per slot, and the sidecars take their turns one after the other.
      */
     boolean hasBudget(long nowMicros, TrackedUpstream upstream, double workMicros) {
         // An upstream that may have restarted gets the budget of a restarted one, but its expected capacity
