--- a/src/main/java/loadbalancer/consensus/ConsensusGroup.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusGroup.java
@@ -19,6 +19,7 @@
     }
 
     GroupConfig config() {
+        // Twice the drift, because the clocks of two processes may drift in opposite directions.
         long leaseExpiryMicros = (long) (leaseMicros * (1 + 2 * MAX_CLOCK_DRIFT));
         return new GroupConfig(voters, members, leaseMicros, leaseExpiryMicros, subscriberLeaseMicros);
     }
--- a/src/main/java/loadbalancer/consensus/ConsensusNode.java
+++ b/src/main/java/loadbalancer/consensus/ConsensusNode.java
@@ -17,8 +17,8 @@
     private static final int RENEWALS_PER_LEASE = 3;
     private static final long RESEND_INTERVAL_MICROS = 60_000;
     /**
-     * A voter completes an unfinished change after this time without progress, plus once more for each voter with a
-     * lower number.
+     * Time without progress after which voter 0 completes an unfinished change; voter n waits n + 1 times as long. Also
+     * the interval at which a pending proposal is retried.
      */
     private static final long LEADER_TIMEOUT_MICROS = 700_000;
 
--- a/src/main/java/loadbalancer/consensus/ContentStore.java
+++ b/src/main/java/loadbalancer/consensus/ContentStore.java
@@ -96,7 +96,7 @@
 
     /**
      * Whether a version's content is cached. If not, starts its download unless the version was rejected or too many
-     * downloads are running.
+     * downloads are running. Always true for {@link Stage#NO_VERSION}, which has no content.
      */
     boolean hasOrDownload(long version) {
         if (version == Stage.NO_VERSION || get(version).isPresent()) {
--- a/src/main/java/loadbalancer/consensus/Incarnation.java
+++ b/src/main/java/loadbalancer/consensus/Incarnation.java
@@ -2,7 +2,7 @@
 
 /**
  * One process of a voter. A voter's state is lost when its process ends, and the next process has a higher count. A
- * restarted voter does not keep the promises of its earlier incarnations, so the answer of an incarnation counts
+ * restarted voter possibly knows no promise of its earlier incarnations, so the answer of an incarnation counts
  * towards a quorum only while no other answer of the quorum knows a later incarnation (crash-consistent quorums:
  * Michael, Ports, Sharma, Szekeres, Recovering Shared Objects Without Stable Storage, DISC 2017).
  *
--- a/src/main/java/loadbalancer/consensus/Leader.java
+++ b/src/main/java/loadbalancer/consensus/Leader.java
@@ -22,9 +22,10 @@
     private final SafetyRules rules;
     private final long era;
     private final long ballot;
-    private final int proposer;
+    private final int requester;
     /**
-     * The stage that this voter knew to be chosen, possibly for long, when it started to lead; null if it knew none.
+     * The stage that this voter already knew to be chosen when it started to lead; null if it knew none. If the leader
+     * proposes this stage again, the wait for leases on earlier stages counts from {@link #initiallyChosenAtMicros}.
      */
     private final Stage initiallyChosenStage;
 
@@ -69,7 +70,7 @@
         long incarnation = voter.incarnations().get(voterId).count() % INCARNATIONS_PER_ROUND;
         long round = highestKnownBallot / BALLOTS_PER_ROUND + 1;
         ballot = round * BALLOTS_PER_ROUND + incarnation * BALLOTS_PER_INCARNATION + voterId;
-        proposer = request.proposer();
+        requester = request.requester();
         initiallyChosenStage = voter.acceptedIsChosen() ? voter.acceptedStage() : null;
         initiallyChosenAtMicros = voter.chosenAtMicros();
         promises = new Message.Promise[group.voters()];
@@ -84,7 +85,7 @@
         rules = other.rules;
         era = other.era;
         ballot = other.ballot;
-        proposer = other.proposer;
+        requester = other.requester;
         initiallyChosenStage = other.initiallyChosenStage;
         initiallyChosenAtMicros = other.initiallyChosenAtMicros;
         promises = other.promises.clone();
@@ -177,7 +178,7 @@
         if (isValidating()) {
             return endValidation(nowMicros, outbox);
         }
-        boolean due = !finished && proposedIsChosen && isPreviousRetired(nowMicros);
+        boolean due = !finished && proposedIsChosen && areEarlierStagesUnused(nowMicros);
         if (due) {
             proposeNext(nowMicros, outbox);
         }
@@ -197,8 +198,8 @@
         return complete;
     }
 
-    /** Whether no process can still decide by a stage before the current one. */
-    private boolean isPreviousRetired(long nowMicros) {
+    /** Whether no process can still decide by a stage before the proposed one. */
+    private boolean areEarlierStagesUnused(long nowMicros) {
         return !rules.enforces(SafetyRule.WAITING)
                 || adopters.cardinality() == group.members()
                 || nowMicros - chosenAtMicros >= group.leaseExpiryMicros();
@@ -317,7 +318,7 @@
         if (isValidating() && invalid.version() == versionInValidation) {
             finished = true;
             String reason = "sidecar " + from + ": " + invalid.reason();
-            outbox.send(proposer, new Message.Invalid(versionInValidation, reason));
+            outbox.send(requester, new Message.Invalid(versionInValidation, reason));
         }
     }
 
--- a/src/main/java/loadbalancer/consensus/LeaseGrantor.java
+++ b/src/main/java/loadbalancer/consensus/LeaseGrantor.java
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Removes expired leases. Scans all leases, at most once in the longest duration of a lease. */
+    /** Removes expired leases. Scans all of them, so at most once per {@code subscriberLeaseMicros}. */
     private void removeExpired(long nowMicros) {
         if (nowMicros - cleanedAtMicros >= group.subscriberLeaseMicros()) {
             cleanedAtMicros = nowMicros;
--- a/src/main/java/loadbalancer/consensus/LeaseHolder.java
+++ b/src/main/java/loadbalancer/consensus/LeaseHolder.java
@@ -4,9 +4,9 @@
 import java.util.function.LongPredicate;
 
 /**
- * A member's lease on the stage that it decides by. The member asks all voters and adopts the stage that a majority's
- * replies establish for the length of a lease, counted from its request by its own monotonic clock. Does no I/O and
- * reads no clock.
+ * A member's lease on the stage that it decides by. The member asks all voters, and from the replies of a majority
+ * adopts the latest stage that is known to be chosen. The lease is counted from the member's request, by its own
+ * monotonic clock. Does no I/O and reads no clock.
  */
 final class LeaseHolder {
     private final GroupConfig group;
--- a/src/main/java/loadbalancer/consensus/MessageCodec.java
+++ b/src/main/java/loadbalancer/consensus/MessageCodec.java
@@ -18,7 +18,7 @@
     static final byte TAG = 'A';
     static final int MAX_BYTES = 256;
 
-    private static final byte VERSION = 1;
+    private static final byte FORMAT_VERSION = 1;
     private static final int REGISTER_ID_OFFSET = 2;
     private static final int HEADER_BYTES = REGISTER_ID_OFFSET + Integer.BYTES + 1;
     private static final int CHECKSUM_BYTES = Integer.BYTES;
@@ -73,7 +73,8 @@
 
     /** Encodes a message as a datagram. */
     byte[] encode(Message message) {
-        ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES).put(TAG).put(VERSION).putInt(registerId);
+        ByteBuffer buffer =
+                ByteBuffer.allocate(MAX_BYTES).put(TAG).put(FORMAT_VERSION).putInt(registerId);
         boolean encoded = putBallotMessage(buffer, message)
                 || putContentMessage(buffer, message)
                 || putLeaseMessage(buffer, message)
@@ -203,7 +204,7 @@
         boolean validFrame = checksumOffset >= HEADER_BYTES
                 && datagram.length <= MAX_BYTES
                 && datagram[0] == TAG
-                && datagram[1] == VERSION
+                && datagram[1] == FORMAT_VERSION
                 && registerIdOf(datagram) == registerId
                 && ByteBuffer.wrap(datagram).getInt(checksumOffset) == checksum(datagram, checksumOffset);
         if (!validFrame) {
--- a/src/main/java/loadbalancer/consensus/SafetyRule.java
+++ b/src/main/java/loadbalancer/consensus/SafetyRule.java
@@ -17,7 +17,10 @@
     WAITING,
     /** A process without a valid lease decides by no stage. */
     LEASE_END,
-    /** A member adopts a stage only if a majority has accepted it or a voter knows that it is chosen. */
+    /**
+     * A member adopts a stage only if a majority has accepted it or a voter knows that it is chosen, and the replies of
+     * a majority show no later stage.
+     */
     MAJORITY,
     /** A member reports a stage as adopted only when none of its subscribers can still decide by an earlier stage. */
     SUBSCRIBERS_PAST,
--- a/src/main/java/loadbalancer/consensus/Subscription.java
+++ b/src/main/java/loadbalancer/consensus/Subscription.java
@@ -68,7 +68,10 @@
         contents.requestChunks(member, true, outboxTo(sender));
     }
 
-    /** Handles a datagram from a member. The returned kind tells the caller whether the member answers. */
+    /**
+     * Handles a datagram from a member. The caller learns from the returned kind whether the member granted a lease,
+     * and whether to ask again.
+     */
     public MessageKind receive(long nowMicros, int from, byte[] datagram, DatagramSender sender) {
         Message message = codec.decode(datagram).orElse(null);
         if (message instanceof Message.SubscriberLease lease) {
@@ -112,7 +115,10 @@
          * by an earlier stage.
          */
         STAGE_ADOPTED,
-        /** A hint to ask again, even if this process knows the stage, because the member does not know that it does. */
+        /**
+         * A hint to ask again, even if this process has already adopted the stage, because the member has not learned
+         * of that.
+         */
         STAGE_CHANGED,
         CHUNK,
         /** Another message for a subscriber. */
--- a/src/main/java/loadbalancer/consensus/Voter.java
+++ b/src/main/java/loadbalancer/consensus/Voter.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Returns a time by this voter's clock at which the accepted stage had been chosen at the latest; only valid if
-     * {@link #acceptedIsChosen}.
+     * Returns when this voter, by its own clock, learned that the accepted stage is chosen; the stage was chosen no
+     * later. Only valid if {@link #acceptedIsChosen}.
      */
     long chosenAtMicros() {
         return chosenAtMicros;
--- a/src/main/java/loadbalancer/consensus/audit/PolicyLogReader.java
+++ b/src/main/java/loadbalancer/consensus/audit/PolicyLogReader.java
@@ -54,7 +54,12 @@
         }
     }
 
-    /** Event names are stored in logs and so never change. */
+    /**
+     * Adds the event of a line. A sidecar logs {@code serves} when it starts; {@code policy.joint} or
+     * {@code policy.settled} when it adopts a stage; {@code policy.sure} when it has a valid lease on its unchanged
+     * settled stage again; and {@code policy.careful} when it has no valid lease. Event names are stored in
+     * logs and so never change.
+     */
     private static void add(PolicyHistory history, String log, JsonObject line) {
         long atMillis = line.integer("atMs");
         history.recordAlive(log, atMillis);
--- a/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusFaultRun.java
@@ -6,7 +6,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Makes changes in a simulated group, with a random fault before each of them, and sums up what the simulation counts.
+ * Makes changes in a simulated group, with a random fault before each of them, and reports the messages, bytes, times,
+ * adopted changes and violations of the simulation.
  */
 final class ConsensusFaultRun {
     private static final long SECOND_MICROS = 1_000_000;
--- a/src/test/java/loadbalancer/consensus/ConsensusRegressionTest.java
+++ b/src/test/java/loadbalancer/consensus/ConsensusRegressionTest.java
@@ -56,9 +56,10 @@
     }
 
     /**
-     * Counts the states of all schedules up to a depth: the greatest bound of states that the explorer reaches before
-     * it expands states of that depth. An exploration that ends at its bound reports only the bound and the depth, so
-     * the count is searched for. The recorded count is tried first, to save the search.
+     * Counts the distinct states of all schedules of up to {@code depth} events. An exploration that ends at its bound
+     * of states reports only the bound and the depth of the state that it was expanding, so the count is found by a
+     * search for the greatest bound that is reached before a state of {@code depth} is expanded. The recorded count is
+     * tried first, to save the search.
      */
     private static int statesToDepth(
             Explorer explorer, int depth, int crashes, int leaderStarts, int ticks, int recorded) {
--- a/src/test/java/loadbalancer/consensus/RandomExplorerRun.java
+++ b/src/test/java/loadbalancer/consensus/RandomExplorerRun.java
@@ -3,7 +3,10 @@
 import java.util.SplittableRandom;
 import loadbalancer.consensus.ExplorerEvent.Kind;
 
-/** Applies random events to states of the explorer and sums up what a state holds after each of them. */
+/**
+ * Applies random events to states of the explorer. Adds up the messages in transit and the leased stages after each
+ * event, and the chosen stages, started processes and ticks after each schedule.
+ */
 final class RandomExplorerRun {
     /** With more messages in transit, only events on messages are drawn, so that stages are chosen. */
     private static final int MAX_IN_TRANSIT = 12;
