--- a/src/main/java/loadbalancer/sidecar/ActiveConfiguration.java
+++ b/src/main/java/loadbalancer/sidecar/ActiveConfiguration.java
@@ -12,8 +12,8 @@
 import loadbalancer.zones.ZoneOptions;
 
 /**
- * The configuration in force, and its change by reloaded files while requests are in progress. What can't change before the next
- * start is logged as such. All on the event loop.
+ * The active configuration, and its replacement by reloaded files while requests are in progress. Changes that take
+ * effect only at the next start are logged as such. Event loop only.
  */
 final class ActiveConfiguration {
     private final Clock clock;
@@ -45,7 +45,7 @@
         return operator;
     }
 
-    /** Takes over both reloaded files. */
+    /** Applies both reloaded files. */
     void apply(SidecarConfig config, OperatorConfiguration reloaded, DiscoveryHttpClient discoveryClient) {
         engine.metrics().configurationReloaded(true);
         if (!settings.equals(config.settings())) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** A reloaded file was invalid and changes nothing. */
+    /** Records that a reloaded file was invalid; the active configuration stays. */
     void rejected() {
         engine.metrics().configurationReloaded(false);
     }
@@ -70,20 +70,19 @@
         engine.reload(settings);
         Log.event(
                 "reload.settings",
-                "settings are as the file says now: " + config.describeLimits() + ", "
+                "settings are reloaded: " + config.describeLimits() + ", "
                         + settings.limits().maxAttempts() + " attempts");
     }
 
     private void applyOperator(OperatorConfiguration reloaded) {
         OperatorConfiguration former = operator;
-        logUnlessEqual(former.grpc(), reloaded.grpc(), "what changed under [grpc] holds from the next start on");
+        logUnlessEqual(former.grpc(), reloaded.grpc(), "changes in [grpc] take effect at the next start");
         logUnlessEqual(
                 former.consensus(),
                 reloaded.consensus(),
-                "what changed under [consensus] holds from the next start on, but for its file");
-        logUnlessEqual(
-                former.control(), reloaded.control(), "what changed under [control] holds from the next start on");
-        logUnlessEqual(former.subset(), reloaded.subset(), "what changed under [subset] holds from the next start on");
+                "changes in [consensus] take effect at the next start, except for its policy file");
+        logUnlessEqual(former.control(), reloaded.control(), "changes in [control] take effect at the next start");
+        logUnlessEqual(former.subset(), reloaded.subset(), "changes in [subset] take effect at the next start");
         Log.setJsonOutput(reloaded.jsonLog());
         if (!Objects.equals(former.zones(), reloaded.zones())) {
             applyZones(reloaded.zones());
@@ -98,7 +97,7 @@
         }
     }
 
-    /** Null where the endpoint list is not kept on disk. */
+    /** Null where the endpoint list is not stored on disk. */
     static DiskOptions disk(OperatorConfiguration operator) {
         return operator.membership() == null ? null : operator.membership().disk();
     }
@@ -113,7 +112,7 @@
         if (engine.agreedConfiguration() != null) {
             Log.event(
                     "reload.later",
-                    "zones away and preferred are decided in common: propose them; the rest of [zones] holds from the next start on");
+                    "[zones] away and tiers are agreed on: propose a policy instead; other changes in [zones] take effect at the next start");
             return;
         }
         engine.decisions()
@@ -123,9 +122,9 @@
                                 zoneAware.reload(clock.nowMicros(), zones);
                                 Log.event(
                                         "reload.zones",
-                                        "zones: those away and those preferred are as the file says now; the rest holds from the next start on");
+                                        "[zones] away and tiers are reloaded; other changes in [zones] take effect at the next start");
                             } else {
-                                Log.event("reload.later", "what changed under [zones] holds from the next start on");
+                                Log.event("reload.later", "changes in [zones] take effect at the next start");
                             }
                         },
                         () -> {});
--- a/src/main/java/loadbalancer/sidecar/AgreedConfiguration.java
+++ b/src/main/java/loadbalancer/sidecar/AgreedConfiguration.java
@@ -14,11 +14,11 @@
 import loadbalancer.toml.ConfigurationException;
 
 /**
- * A sidecar's part in changes of the agreed zone policy. Requests never wait for it: the listener gets the policy to apply when it changes. Event
- * loop only; times are microseconds of {@link Clock}.
+ * Follows and proposes changes of the agreed zone policy. Requests never wait for it: the listener gets each new policy
+ * to apply. Event loop only; times are microseconds of {@link Clock}.
  */
 public final class AgreedConfiguration {
-    /** Longest time between two ticks: an expired lease is noticed this soon. */
+    /** Longest time between two ticks, and so the longest time until an expired lease is noticed. */
     private static final long MAX_TICK_INTERVAL_MICROS = 50_000;
 
     private static final long MIN_TICK_INTERVAL_MICROS = 1_000;
@@ -28,26 +28,27 @@
     private final List<String> zones;
     private final Consumer<ZonePolicy> policyListener;
     private final ConfigurationSource source;
-    private final List<Runnable> onceLearned = new ArrayList<>();
+    private final List<Runnable> learnedTasks = new ArrayList<>();
     private ActiveStage lastStage;
     private long stageSinceMicros;
     private boolean tickScheduled;
 
     /**
      * @param zones          zones that a policy may name; empty for any
-     * @param effect         gets the policy to apply from now on, null for this sidecar's own operator's file, which holds at the start
+     * @param policyListener gets the policy to apply from now on; null stands for this sidecar's own operator's
+     *     file, which applies at the start
      */
     AgreedConfiguration(
             Timers timers,
             Clock clock,
             List<String> zones,
-            ConfigurationSource.Factory sources,
-            Consumer<ZonePolicy> effect) {
+            ConfigurationSource.Factory sourceFactory,
+            Consumer<ZonePolicy> policyListener) {
         this.timers = timers;
         this.clock = clock;
         this.zones = zones;
-        this.policyListener = effect;
-        source = sources.create(this::contentError);
+        this.policyListener = policyListener;
+        source = sourceFactory.create(this::contentError);
         stageSinceMicros = clock.nowMicros();
     }
 
@@ -82,18 +83,18 @@
         }
     }
 
-    /** Takes a datagram of the fleet member or replica with this number. */
+    /** Handles a datagram from the fleet member or replica with this number. */
     void receive(int from, byte[] datagram) {
         source.receive(clock.nowMicros(), from, datagram);
         applyActiveStage();
     }
 
     /** Runs the task once this sidecar has learned the active version, or that there is none. */
-    void onceLearned(Runnable onDone) {
+    void onceLearned(Runnable task) {
         if (source.hasLearned()) {
-            onDone.run();
+            task.run();
         } else {
-            onceLearned.add(onDone);
+            learnedTasks.add(task);
         }
     }
 
@@ -101,10 +102,10 @@
     private void applyActiveStage() {
         scheduleTick();
         ActiveStage stage = source.activeStage(clock.nowMicros());
-        if (source.hasLearned() && !onceLearned.isEmpty()) {
-            List<Runnable> all = new ArrayList<>(onceLearned);
-            onceLearned.clear();
-            all.forEach(Runnable::run);
+        if (source.hasLearned() && !learnedTasks.isEmpty()) {
+            List<Runnable> tasks = new ArrayList<>(learnedTasks);
+            learnedTasks.clear();
+            tasks.forEach(Runnable::run);
         }
         if (stage.equals(lastStage)) {
             return;
@@ -112,10 +113,10 @@
         ActiveStage previousStage = lastStage;
         lastStage = stage;
         stageSinceMicros = clock.nowMicros();
-        boolean other = previousStage == null
+        boolean versionsChanged = previousStage == null
                 || previousStage.oldVersion() != stage.oldVersion()
                 || previousStage.newVersion() != stage.newVersion();
-        if (other && source.hasLearned()) {
+        if (versionsChanged && source.hasLearned()) {
             ZonePolicy from = policy(stage.oldVersion());
             ZonePolicy to = policy(stage.newVersion());
             if (to != null || previousStage != null && previousStage.newVersion() != stage.newVersion()) {
@@ -131,10 +132,10 @@
         }
     }
 
-    private void logStage(ActiveStage stage, boolean other) {
+    private void logStage(ActiveStage stage, boolean isNewStage) {
         String to = versionName(stage.newVersion());
         if (!stage.leaseValid()) {
-            // A paused process notices late, but has decided nothing meanwhile.
+            // A paused process notices the expired lease late, but has made no routing decisions in the meantime.
             logStage(
                     "policy.careful",
                     "may have missed a change of policy: goes on by " + to + " until it hears a majority",
@@ -146,7 +147,7 @@
                     "policy.joint",
                     "policy " + versionName(stage.oldVersion()) + " and " + to + " go together: the stricter of both",
                     stage);
-        } else if (other) {
+        } else if (isNewStage) {
             logStage("policy.settled", "policy " + to + " is in force", stage);
         } else {
             logStage("policy.sure", "sure again that policy " + to + " is in force", stage);
@@ -154,7 +155,7 @@
     }
 
     /** Logs the fields that {@code policy audit} reads. */
-    private static void logStage(String event, String text, ActiveStage stage, Object... more) {
+    private static void logStage(String event, String text, ActiveStage stage, Object... extraFields) {
         List<Object> fields = new ArrayList<>(List.of(
                 "era",
                 Long.toHexString(stage.era()),
@@ -164,7 +165,7 @@
                 versionName(stage.oldVersion()),
                 "version",
                 versionName(stage.newVersion())));
-        fields.addAll(List.of(more));
+        fields.addAll(List.of(extraFields));
         Log.event(event, text, fields.toArray());
     }
 
@@ -174,11 +175,12 @@
         try {
             return content == null ? null : PolicyFile.read(content, zones);
         } catch (ConfigurationException exception) {
-            throw new IllegalStateException("a policy that was checked: " + exception.getMessage());
+            throw new IllegalStateException(
+                    "a policy that passed validation is invalid now: " + exception.getMessage());
         }
     }
 
-    /** A version as operators see it. */
+    /** A version as it appears in logs and in the status. */
     static String versionName(long version) {
         return version == 0 ? "none" : Long.toHexString(version);
     }
@@ -201,7 +203,7 @@
     /** Rolls back the unfinished change; returns why that is impossible, or null. */
     String abort() {
         String error = source.abort(clock.nowMicros());
-        Log.event("policy.abort", error == null ? "what is open is to be taken back" : error);
+        Log.event("policy.abort", error == null ? "the unfinished change is to be rolled back" : error);
         applyActiveStage();
         return error;
     }
--- a/src/main/java/loadbalancer/sidecar/ConfigurationSource.java
+++ b/src/main/java/loadbalancer/sidecar/ConfigurationSource.java
@@ -5,8 +5,8 @@
 import loadbalancer.consensus.ActiveStage;
 
 /**
- * Where a sidecar learns the agreed configuration: consensus among the sidecars, or a control tier. Event loop only; times are microseconds of
- * the sidecar's clock.
+ * Where a sidecar learns the agreed configuration: consensus among the sidecars, or a control tier. Event loop only;
+ * times are microseconds of the sidecar's clock.
  */
 interface ConfigurationSource {
     /** Sends a datagram of at most 256 bytes to the member with this number; it may be lost. */
@@ -14,7 +14,7 @@
         void send(int to, byte[] datagram);
     }
 
-    /** Creates a source; {@code check} returns why a content is invalid here, null where it is valid. */
+    /** Creates a source; {@code check} returns why this sidecar rejects a content, or null if it is valid. */
     interface Factory {
         ConfigurationSource create(Function<byte[], String> check);
     }
@@ -35,7 +35,7 @@
 
     void tick(long nowMicros);
 
-    /** Takes a datagram of the member with this number. */
+    /** Handles a datagram from the member with this number. */
     void receive(long nowMicros, int from, byte[] datagram);
 
     /** Proposes a content; returns why it can't be proposed, or null. */
@@ -44,15 +44,15 @@
     /** Rolls back the unfinished change; returns why that is impossible, or null. */
     String abort(long nowMicros);
 
-    /** Whether the last proposal made here is neither in force nor abandoned yet. */
+    /** Whether the last proposal of this process is neither active nor abandoned yet. */
     boolean isProposalPending();
 
-    /** Which member rejected the last proposal made here, and why; null where none did. */
+    /** Which member rejected the last proposal of this process, and why; null if none did. */
     String rejectionReason();
 
-    /** Members whose answer a change led from here waits for. */
+    /** Members whose response a change led by this process waits for. */
     BitSet awaitedMembers();
 
-    /** Messages dropped because they belong to no group of this fleet. */
+    /** Number of messages dropped because they belong to no group of this fleet. */
     long droppedMessages();
 }
--- a/src/main/java/loadbalancer/sidecar/ConfigurationSources.java
+++ b/src/main/java/loadbalancer/sidecar/ConfigurationSources.java
@@ -6,12 +6,12 @@
 import loadbalancer.operator.ConsensusOptions;
 import loadbalancer.operator.OperatorConfiguration;
 
-/** Selects the configuration source that the operator's file asks for, without loading the classes of the others. */
+/** Selects the configuration source that the operator's file configures, without loading the classes of the others. */
 final class ConfigurationSources {
     private ConfigurationSources() {}
 
     /**
-     * The factory of the source; null where the operator's file asks for none.
+     * The factory of the source; null where the operator's file configures none.
      *
      * @param seed differs for each incarnation of the process
      */
--- a/src/main/java/loadbalancer/sidecar/ControlTierSource.java
+++ b/src/main/java/loadbalancer/sidecar/ControlTierSource.java
@@ -12,12 +12,13 @@
 /** Configuration decided by a control tier: this sidecar subscribes to its service's scope and proposes nothing. */
 final class ControlTierSource implements ConfigurationSource {
     private static final int SCOPE = 0;
-    private static final String DECIDED_BY_CONTROL_TIER = "a control tier decides: call one of its replicas";
+    private static final String DECIDED_BY_CONTROL_TIER =
+            "policies are decided by the control tier: propose or abort at one of its replicas";
 
     private final ControlClient client;
     private final Network network;
 
-    /** @param sidecarIndex spreads the sidecars over the replicas */
+    /** @param sidecarIndex determines the order of replicas, so that sidecars spread over them */
     ControlTierSource(
             ControlOptions options,
             int sidecarIndex,
--- a/src/main/java/loadbalancer/sidecar/CpuTime.java
+++ b/src/main/java/loadbalancer/sidecar/CpuTime.java
@@ -5,9 +5,12 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** CPU time of a process, from the kernel's account (proc(5)); loading the JVM's management beans would slow the start. */
+/**
+ * CPU time of a process, read from /proc (see proc(5)), because loading the JVM's management beans would slow the
+ * start.
+ */
 public final class CpuTime {
-    /** Unit of the kernel's times for programs (USER_HZ), whatever its internal tick. */
+    /** Length of a clock tick of /proc (USER_HZ), which doesn't depend on the kernel's internal tick. */
     private static final long TICK_MILLIS = 10;
     /** Indexes of utime and stime among the fields after the process name, which may hold any character. */
     private static final int USER_TIME_FIELD = 11;
@@ -16,7 +19,7 @@
 
     private CpuTime() {}
 
-    /** CPU time used since this process started, milliseconds in steps of ten; -1 where the system doesn't say. */
+    /** CPU time used since this process started, milliseconds in steps of ten; -1 if /proc can't be read. */
     public static long usedMillis() {
         try (InputStream stat = new FileInputStream("/proc/self/stat")) {
             return usedMillis(new String(stat.readNBytes(1024), StandardCharsets.ISO_8859_1));
--- a/src/main/java/loadbalancer/sidecar/EndpointListPersistence.java
+++ b/src/main/java/loadbalancer/sidecar/EndpointListPersistence.java
@@ -10,7 +10,7 @@
 import loadbalancer.operator.OperatorConfiguration.DiskOptions;
 
 /**
- * Keeps the endpoint list on disk for the next start, and changes over when the configuration does. All on the event loop, except
+ * Stores the endpoint list on disk for the next start, and applies reloaded disk options. Event loop only, except for
  * {@link #readStored}.
  */
 final class EndpointListPersistence {
@@ -18,7 +18,7 @@
     private final Clock clock;
     private final EndpointService endpoints;
 
-    /** Null while no list is kept. */
+    /** Null while the list is not stored. */
     private EndpointListWriter writer;
 
     EndpointListPersistence(EventLoop loop, Clock clock, EndpointService endpoints) {
@@ -31,22 +31,22 @@
         return new EndpointListStore(options.folder(), options.fleet(), options.maxFileBytes());
     }
 
-    /** The list that an earlier process has left; may take as long as the disk does. */
+    /** Reads the list that an earlier process has stored; blocks for as long as the disk takes. */
     static Optional<EndpointList> readStored(EndpointListStore store) {
         return store.read(text -> Log.event("disk", text));
     }
 
-    /** Keeps the list in this store from now on. */
+    /** Starts to write the list to this store. */
     void start(EndpointListStore store, DiskOptions options) {
         writer = new EndpointListWriter(
                 store, options.maxWritesPerMinute(), clock::nowMicros, text -> Log.event("disk", text));
         endpoints.writeListTo(writer::submit, options.refreshMicros());
     }
 
-    /** Takes over reloaded options; null keeps no list any more. */
+    /** Applies reloaded options; null stops storing the list. */
     void reload(DiskOptions options) {
         endpoints.writeListTo(null, 0);
-        // Not before the former writer has ended: it may be the same folder, with another rate.
+        // Starts only after the former writer has closed, because both may write to the same folder at different rates.
         close(() -> loop.execute(() -> {
             if (options != null) {
                 start(store(options), options);
@@ -56,7 +56,9 @@
                 "reload.disk", options == null ? "keeps no list from now on" : "keeps its list in " + options.folder());
     }
 
-    /** Writes what is left, which may take as long as the disk does; {@code onDone} runs on any thread. */
+    /**
+     * Writes pending lists on a thread of its own, because the disk may be slow; {@code onDone} may run on any thread.
+     */
     void close(Runnable onDone) {
         EndpointListWriter former = writer;
         writer = null;
--- a/src/main/java/loadbalancer/sidecar/EndpointService.java
+++ b/src/main/java/loadbalancer/sidecar/EndpointService.java
@@ -29,7 +29,7 @@
 import loadbalancer.subset.Subset;
 
 /**
- * Connects {@link Membership} to its surroundings: passes it endpoint lists, check results and the time, and its changes on, first to the
+ * Feeds {@link Membership} with endpoint lists, check results and the time, and publishes its changes, first to the
  * connection pools and then to the balancer. Event loop only.
  */
 public final class EndpointService implements DiscoveryWatch.Listener {
@@ -53,42 +53,43 @@
     private Subset subset;
 
     /**
-     * @param pool  gets each change before the balancer, which may send at once: the complete list, or what changed
-     * @param trial checks what listens at an address and calls its consumer once
+     * @param connectionPool gets each change before the balancer, which may send at once: the complete list, or
+     *     what changed
+     * @param endpointCheck checks what listens at an address and calls its consumer once
      */
     public EndpointService(
             Timers timers,
             Clock clock,
             BalancerDispatcher decisions,
-            BiConsumer<Boolean, List<Endpoint>> pool,
+            BiConsumer<Boolean, List<Endpoint>> connectionPool,
             Membership membership,
-            BiConsumer<InetSocketAddress, Consumer<EndpointEvidence>> trial) {
+            BiConsumer<InetSocketAddress, Consumer<EndpointEvidence>> endpointCheck) {
         this.timers = timers;
         this.clock = clock;
         this.decisions = decisions;
-        this.connectionPool = pool;
+        this.connectionPool = connectionPool;
         this.membership = membership;
-        this.endpointCheck = trial;
+        this.endpointCheck = endpointCheck;
     }
 
-    /** Before the start: adds the connection pool of another protocol. */
+    /** Adds the connection pool of another protocol; called before the start. */
     void addConnectionPool(BiConsumer<Boolean, List<Endpoint>> pool) {
         secondPool = pool;
     }
 
-    /** Before the start: restricts the balancer and the pools to a subset. */
-    void useSubset(Subset few) {
-        subset = few;
+    /** Restricts the balancer and the pools to a subset; called before the start. */
+    void useSubset(Subset subset) {
+        this.subset = subset;
     }
 
-    /** Stores the list with this writer from now on, or not at all with null. The caller has closed the former writer. */
-    public void writeListTo(Consumer<EndpointList> keeper, long refreshUs) {
-        this.listWriter = keeper;
-        this.rewriteIntervalMicros = refreshUs;
+    /** Stores the list with this writer from now on; null stores none. The caller has closed the former writer. */
+    public void writeListTo(Consumer<EndpointList> writer, long rewriteIntervalMicros) {
+        this.listWriter = writer;
+        this.rewriteIntervalMicros = rewriteIntervalMicros;
         lastWriteMicros = 0;
     }
 
-    /** Starts with the lists known; returns the upstreams that the balancer gets first. */
+    /** Starts with the known lists; returns the upstreams for the first list that the balancer gets. */
     public List<Upstream> start(List<EndpointList> lists) {
         EndpointChange change = withinSubset(membership.start(clock.nowMicros(), lists));
         change.logMessages().forEach(n -> Log.event("membership", n));
@@ -96,7 +97,7 @@
         return upstreams(change);
     }
 
-    /** After the balancer has its first list: checks unverified endpoints. */
+    /** Starts the checks of unverified endpoints, after the balancer has got its first list. */
     public void startChecks() {
         runChecks();
         if (subset != null) {
@@ -123,10 +124,10 @@
                 .usableEndpoints()
                 .forEach(endpoint -> byId.put(endpoint.upstream().id(), endpoint));
         subset.onEndpoints(byId.values().stream().map(Endpoint::upstream).toList());
-        List<Endpoint> few = subset.effectiveEndpoints(clock.nowMicros()).stream()
+        List<Endpoint> subsetEndpoints = subset.effectiveEndpoints(clock.nowMicros()).stream()
                 .map(u -> byId.get(u.id()).withUpstream(u))
                 .toList();
-        return new EndpointChange(true, few, change.logMessages());
+        return new EndpointChange(true, subsetEndpoints, change.logMessages());
     }
 
     /** Generation that the discovery watch continues from. */
@@ -148,17 +149,20 @@
     private void beginDueChecks() {
         for (Endpoint endpoint : membership.beginChecks(clock.nowMicros())) {
             String id = endpoint.upstream().id();
-            endpointCheck.accept(Addresses.parse(endpoint.address()), proof -> {
-                publish(membership.onCheckResult(clock.nowMicros(), id, proof), EndpointListKind.CACHED);
-                if (!stopped && proof == EndpointEvidence.RESPONDS_AS_UPSTREAM) {
-                    // A responding upstream uses up no check of the rate limit, so the next check needs no wait.
+            endpointCheck.accept(Addresses.parse(endpoint.address()), evidence -> {
+                publish(membership.onCheckResult(clock.nowMicros(), id, evidence), EndpointListKind.CACHED);
+                if (!stopped && evidence == EndpointEvidence.RESPONDS_AS_UPSTREAM) {
+                    // A responding upstream doesn't count against the rate limit of checks, so the next check
+                    // needs no wait.
                     timers.schedule(0, this::beginDueChecks);
                 }
             });
         }
     }
 
-    /** Takes an upstream out of service or back; returns false, without a change, where the list has no such upstream. */
+    /**
+     * Takes an upstream out of service or back; returns false, without a change, where the list has no such upstream.
+     */
     boolean setOutOfService(String id, boolean out) {
         if (!membership.isKnown(id)) {
             return false;
@@ -167,17 +171,17 @@
         return true;
     }
 
-    /** Takes over what another process of this sidecar knows of out-of-service upstreams. */
-    void outOfService(OutOfServiceUpstreams.Snapshot kept) {
-        publish(membership.restoreOutOfService(kept), EndpointListKind.CACHED);
+    /** Applies the out-of-service upstreams that another process of this sidecar has recorded. */
+    void applyOutOfService(OutOfServiceUpstreams.Snapshot snapshot) {
+        publish(membership.restoreOutOfService(snapshot), EndpointListKind.CACHED);
     }
 
-    /** The same before the start, when there is nobody to notify. */
-    void restoreOutOfService(OutOfServiceUpstreams.Snapshot kept) {
-        membership.restoreOutOfService(kept).logMessages().forEach(n -> Log.event("membership", n));
+    /** Like {@link #applyOutOfService}, but before the start, when there are no pools or balancer to notify. */
+    void restoreOutOfService(OutOfServiceUpstreams.Snapshot snapshot) {
+        membership.restoreOutOfService(snapshot).logMessages().forEach(n -> Log.event("membership", n));
     }
 
-    OutOfServiceUpstreams.Snapshot outOfService() {
+    OutOfServiceUpstreams.Snapshot outOfServiceSnapshot() {
         return membership.outOfServiceUpstreams();
     }
 
@@ -186,7 +190,7 @@
         return membership.upstream(id);
     }
 
-    /** Ids of the upstreams that take requests now. */
+    /** Ids of the upstreams that can take requests now. */
     List<String> readyIds() {
         return membership.usableEndpoints().stream()
                 .map(Endpoint::upstream)
@@ -201,11 +205,11 @@
     }
 
     /** Number of listed upstreams that are out of service or ejected by the balancer now. */
-    int unhealthyCount(Balancer module) {
+    int unhealthyCount(Balancer balancer) {
         long nowMicros = clock.nowMicros();
         return (int) membership.endpoints().stream()
                 .map(endpoint -> endpoint.upstream().id())
-                .filter(id -> membership.isOutOfService(id) || module.isEjected(nowMicros, id))
+                .filter(id -> membership.isOutOfService(id) || balancer.isEjected(nowMicros, id))
                 .count();
     }
 
@@ -226,7 +230,7 @@
         }
     }
 
-    /** A health check was refused: nobody listens at the upstream's address. */
+    /** Records that a health check was refused: no process listens at the upstream's address. */
     void connectionRefused(String upstream) {
         if (subset != null) {
             subset.upstreamUnreachable(clock.nowMicros(), upstream);
@@ -234,7 +238,10 @@
         publish(membership.onConnectFailure(clock.nowMicros(), upstream, true), EndpointListKind.CACHED);
     }
 
-    /** {@code CACHED} marks a complete list that is no response of discovery, which alone ends the balancer's polling. */
+    /**
+     * {@code CACHED} marks a complete list that is not from discovery; only a response of discovery ends the balancer's
+     * polling.
+     */
     private void publish(EndpointChange change, EndpointListKind kind) {
         change.logMessages().forEach(n -> Log.event("membership", n));
         forward(withinSubset(change), subset != null && kind == EndpointListKind.DELTA ? EndpointListKind.FULL : kind);
@@ -248,7 +255,7 @@
         }
     }
 
-    /** The pools know a change before the balancer, which may send at once. */
+    /** Called before the balancer gets the change, because the balancer may send at once. */
     private void updatePools(EndpointChange change) {
         connectionPool.accept(change.complete(), change.endpoints());
         if (secondPool != null) {
@@ -265,9 +272,9 @@
     }
 
     @Override
-    public void onList(EndpointList list, boolean answersAsk) {
+    public void onList(EndpointList list, boolean answersPoll) {
         EndpointChange change = membership.onDiscoveryList(clock.nowMicros(), list);
-        if (change.isEmpty() && answersAsk) {
+        if (change.isEmpty() && answersPoll) {
             decisions.call(m -> m.onEndpointList(clock.nowMicros(), EndpointListKind.DELTA, List.of()), () -> {});
         }
         publish(change, change.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
@@ -286,8 +293,8 @@
     }
 
     @Override
-    public void onFailure(Runnable goOn) {
+    public void onFailure(Runnable retry) {
         membership.onDiscoveryFailure();
-        decisions.call(m -> m.onEndpointList(clock.nowMicros(), EndpointListKind.FAILED, List.of()), goOn);
+        decisions.call(m -> m.onEndpointList(clock.nowMicros(), EndpointListKind.FAILED, List.of()), retry);
     }
 }
--- a/src/main/java/loadbalancer/sidecar/Engine.java
+++ b/src/main/java/loadbalancer/sidecar/Engine.java
@@ -35,23 +35,24 @@
 import loadbalancer.zones.ZoneAwareBalancer;
 
 /**
- * All of a sidecar that is neither sockets nor files: the balancer, the requests in flight, the endpoint list and the discovery watch. It runs on
- * any {@link Timers}: a sidecar's event loop, or the simulation's virtual time. Single thread; times are microseconds of {@link Clock}.
+ * The parts of a sidecar that use neither sockets nor files: the balancer, the requests in flight, the endpoint list
+ * and the discovery watch. An engine runs on any {@link Timers}: a sidecar's event loop, or the simulation's virtual
+ * time. Single thread; times are microseconds of {@link Clock}.
  */
 public final class Engine {
-    /** Timeout of a health check: a later response says nothing of the present load. */
-    private static final long PROBE_US = 50_000;
+    /** Timeout of a health check; a later response no longer describes the current load. */
+    private static final long HEALTH_CHECK_TIMEOUT_MICROS = 50_000;
 
     /** The engine's outgoing side: upstreams, peers, control tier. */
     public interface Network {
         /** Gets each change of the endpoint list before the balancer does: the complete list, or what changed. */
-        void update(boolean whole, List<Endpoint> members);
+        void update(boolean complete, List<Endpoint> endpoints);
 
-        /** Checks what listens at the address; {@code result} is called once. */
+        /** Checks whether an upstream listens at the address; {@code result} is called once. */
         void checkEndpoint(InetSocketAddress address, Consumer<EndpointEvidence> result);
 
-        /** Sends a health check to an upstream; the listener's attempt is the health check. */
-        void checkHealth(String upstream, long untilUs, Attempt.Listener result);
+        /** Sends a health check to an upstream; the listener gets the health check as its attempt. */
+        void checkHealth(String upstream, long untilMicros, Attempt.Listener result);
 
         /** Sends gossip to one peer, or to all with number -1. */
         void sendToPeer(int peer, byte[] message);
@@ -122,42 +123,48 @@
 
     /** The balancer, zone-aware only where the operator's file asks for it. */
     public static BalancerFactory balancer(OperatorConfiguration operator) {
-        return balancer(operator, (guide, settings) -> guide);
+        return balancer(operator, (constraints, settings) -> constraints);
     }
 
-    /** {@code also} adds constraints to those that the balancer would have without it. */
+    /** {@code addConstraints} adds to the constraints that the balancer would otherwise have. */
     static BalancerFactory balancer(
-            OperatorConfiguration operator, BiFunction<RoutingConstraints, Settings, RoutingConstraints> also) {
+            OperatorConfiguration operator,
+            BiFunction<RoutingConstraints, Settings, RoutingConstraints> addConstraints) {
         return operator.zones() == null
-                ? (s, others, seed, nowMicros, actions) ->
-                        new HaloBalancer(s, also.apply(RoutingConstraints.NONE, s), others, seed, nowMicros, actions)
+                ? (s, others, seed, nowMicros, actions) -> new HaloBalancer(
+                        s, addConstraints.apply(RoutingConstraints.NONE, s), others, seed, nowMicros, actions)
                 : (s, others, seed, nowMicros, actions) -> new ZoneAwareBalancer(
                         operator.zones(),
                         s,
                         seed ^ 0x7a6f6e6573L,
                         nowMicros,
                         actions,
-                        (guide, hands) -> new HaloBalancer(s, also.apply(guide, s), others, seed, nowMicros, hands));
+                        (constraints, balancerActions) -> new HaloBalancer(
+                                s, addConstraints.apply(constraints, s), others, seed, nowMicros, balancerActions));
     }
 
     /**
-     * Starts on the owner's thread.
+     * Starts the engine, on the thread that owns it.
      *
-     * @param lists    endpoint lists known at the start
-     * @param judged   lists are judged by their age, so discovery's first response is awaited at once
-     * @param spreadUs the first discovery call waits a random part of this, microseconds
+     * @param lists endpoint lists known at the start
+     * @param assessListAge whether the age of lists is assessed, so that discovery's first response is awaited at once
+     * @param spreadMicros the first discovery call waits a random part of this, microseconds
      */
     public void start(
-            List<EndpointList> lists, DiscoveryClient calls, boolean judged, long spreadUs, BalancerFactory made) {
-        firstPollMicros = spreadUs == 0 ? 0 : clock.nowMicros() + new SplittableRandom(seed).nextLong(spreadUs);
+            List<EndpointList> lists,
+            DiscoveryClient calls,
+            boolean assessListAge,
+            long spreadMicros,
+            BalancerFactory balancerFactory) {
+        firstPollMicros = spreadMicros == 0 ? 0 : clock.nowMicros() + new SplittableRandom(seed).nextLong(spreadMicros);
         if (operator.subset() != null) {
             int nodes = lists.stream().mapToInt(l -> l.endpoints().size()).max().orElse(0);
-            int sharers = Subset.sidecarsPerUpstream(operator.subset(), settings.sidecarCount(), nodes);
-            balancerSettings = settings.withSidecarCount(sharers);
+            int sidecarsPerUpstream = Subset.sidecarsPerUpstream(operator.subset(), settings.sidecarCount(), nodes);
+            balancerSettings = settings.withSidecarCount(sidecarsPerUpstream);
             endpoints.useSubset(
                     new Subset(operator.subset(), settings.sidecarIndex(), settings.sidecarCount(), clock.nowMicros()));
         }
-        // With subsets a sidecar doesn't know with whom it shares upstreams.
+        // With subsets a sidecar doesn't know which other sidecars use its upstreams.
         gossip = balancerSettings == settings
                 ? GossipService.forSettings(settings, timers, clock, network, endpoints)
                 : GossipService.disabled(timers, clock, network, endpoints);
@@ -166,18 +173,19 @@
         if (source != null) {
             agreedConfiguration = new AgreedConfiguration(timers, clock, settings.zones(), source, this::applyPolicy);
         }
-        List<Balancer.Upstream> first = endpoints.start(lists);
+        List<Balancer.Upstream> initialUpstreams = endpoints.start(lists);
         DiscoveryWatch.Options watch = new DiscoveryWatch.Options(
                 endpoints.generation(),
                 settings.rules().discoveryPollMicros(),
                 !settings.pollsDiscovery(),
-                judged,
+                assessListAge,
                 seed);
         discovery = new DiscoveryWatch(timers, clock, endpoints, calls, watch);
         decisions.start(
                 actions -> {
-                    balancer = made.create(balancerSettings, gossip.peerLoad(), seed, clock.nowMicros(), actions);
-                    balancer.onEndpointList(clock.nowMicros(), EndpointListKind.CACHED, first);
+                    balancer = balancerFactory.create(
+                            balancerSettings, gossip.peerLoad(), seed, clock.nowMicros(), actions);
+                    balancer.onEndpointList(clock.nowMicros(), EndpointListKind.CACHED, initialUpstreams);
                     return balancer;
                 },
                 new EngineActions());
@@ -187,7 +195,7 @@
         }
     }
 
-    /** Takes a datagram of the control tier's replica with this number. */
+    /** Handles a datagram from the control tier's replica with this number. */
     public void receiveFromReplica(int replica, byte[] datagram) {
         if (agreedConfiguration != null && operator.control() != null) {
             agreedConfiguration.receive(replica, datagram);
@@ -222,7 +230,7 @@
         discovery.start();
     }
 
-    /** Takes a gossip or consensus message of the peer with this number. */
+    /** Handles a gossip or consensus message from the peer with this number. */
     public void receiveFromPeer(int peer, byte[] message) {
         if (InFlightGossip.isMessage(message)) {
             gossip.receiveInFlight(peer, message);
@@ -237,11 +245,11 @@
             return;
         }
         // With subsets the balancer knows fewer peers; the sender is mapped to one of them other than this sidecar.
-        int known = balancerSettings == settings
+        int mappedPeer = balancerSettings == settings
                 ? peer
                 : (balancerSettings.sidecarIndex() + 1 + peer % Math.max(1, balancerSettings.sidecarCount() - 1))
                         % balancerSettings.sidecarCount();
-        decisions.call(m -> m.onGossip(clock.nowMicros(), known, message), () -> {});
+        decisions.call(m -> m.onGossip(clock.nowMicros(), mappedPeer, message), () -> {});
     }
 
     public BalancerDispatcher decisions() {
@@ -257,24 +265,24 @@
     }
 
     /**
-     * Applies reloaded classes, tenants, limits and rules. During the transition, while clients may still use the former ones, a request gets no
-     * more attempts than both allow.
+     * Applies reloaded classes, tenants, limits and rules. During the transition, while clients may still use the
+     * former ones, a request gets no more attempts than both the former and the new limits allow.
      */
     public void reload(Settings next) {
         int before = settings.limits().maxAttempts();
         next.classes().forEach(requestClass -> metrics.addClass(requestClass.name()));
-        Settings changed = applySettings(next, Math.min(before, next.limits().maxAttempts()));
+        Settings applied = applySettings(next, Math.min(before, next.limits().maxAttempts()));
         timers.schedule(RequestClasses.TRANSITION_MICROS, () -> {
-            if (settings == changed) {
+            if (settings == applied) {
                 applySettings(next, next.limits().maxAttempts());
             }
         });
     }
 
     private Settings applySettings(Settings next, int maxAttempts) {
-        boolean all = balancerSettings == settings;
+        boolean usesAllUpstreams = balancerSettings == settings;
         settings = settings.reloadedFrom(next, maxAttempts);
-        balancerSettings = all ? settings : balancerSettings.reloadedFrom(next, maxAttempts);
+        balancerSettings = usesAllUpstreams ? settings : balancerSettings.reloadedFrom(next, maxAttempts);
         requests.setMaxAttempts(maxAttempts);
         decisions.call(m -> m.onSettings(clock.nowMicros(), balancerSettings), () -> {});
         return settings;
@@ -317,17 +325,17 @@
 
     /** Carries out the balancer's actions. */
     private final class EngineActions implements Balancer.Actions {
-        private int spread;
+        private int peerOffset;
 
         @Override
-        public void send(String request, String upstream, long untilUs) {
-            requests.send(request, upstream, untilUs);
+        public void send(String request, String upstream, long untilMicros) {
+            requests.send(request, upstream, untilMicros);
         }
 
         @Override
-        public void reject(String request, long retryAfterUs) {
+        public void reject(String request, long retryAfterMicros) {
             gossip.requestRejected();
-            requests.reject(request, retryAfterUs);
+            requests.reject(request, retryAfterMicros);
         }
 
         @Override
@@ -342,25 +350,29 @@
 
         @Override
         public void checkHealth(String upstream) {
-            network.checkHealth(upstream, clock.nowMicros() + PROBE_US, (attempt, outcome, report, body) -> {
-                // A refused health check shows a restart as well as an attempt does; most sidecars of a fleet see
-                // nothing
-                // else of it.
-                if (attempt.isConnectionRefused()) {
-                    endpoints.connectionRefused(attempt.upstream());
-                }
-                decisions.call(
-                        m -> m.onHealthCheck(
-                                clock.nowMicros(), upstream, outcome, clock.nowMicros() - attempt.sentMicros(), report),
-                        () -> {});
-            });
+            network.checkHealth(
+                    upstream, clock.nowMicros() + HEALTH_CHECK_TIMEOUT_MICROS, (attempt, outcome, report, body) -> {
+                        // A refused health check shows a restart as reliably as a refused attempt does, and is the only
+                        // sign of it that most sidecars of a fleet see.
+                        if (attempt.isConnectionRefused()) {
+                            endpoints.connectionRefused(attempt.upstream());
+                        }
+                        decisions.call(
+                                m -> m.onHealthCheck(
+                                        clock.nowMicros(),
+                                        upstream,
+                                        outcome,
+                                        clock.nowMicros() - attempt.sentMicros(),
+                                        report),
+                                () -> {});
+                    });
         }
 
         @Override
         public void pollDiscovery() {
-            long waitUs = firstPollMicros - clock.nowMicros();
-            if (waitUs > 0) {
-                timers.schedule(waitUs, discovery::poll);
+            long waitMicros = firstPollMicros - clock.nowMicros();
+            if (waitMicros > 0) {
+                timers.schedule(waitMicros, discovery::poll);
             } else {
                 discovery.poll();
             }
@@ -368,11 +380,11 @@
 
         @Override
         public void gossip(int peer, byte[] message) {
-            // With subsets the balancer's peers are placeholders: any sidecar may be meant, in turn.
+            // With subsets the balancer's peer numbers are placeholders, so messages go to all sidecars in turn.
             network.sendToPeer(
                     balancerSettings == settings || peer < 0
                             ? peer
-                            : (peer + settings.sidecarIndex() + spread++) % settings.sidecarCount(),
+                            : (peer + settings.sidecarIndex() + peerOffset++) % settings.sidecarCount(),
                     message);
         }
 
@@ -382,9 +394,9 @@
         }
 
         @Override
-        public void startTimer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayMicros) {
             timers.schedule(
-                    delayUs,
+                    delayMicros,
                     () -> decisions.call(
                             m -> m.onTimer(clock.nowMicros(), mark), requests::failRequestsWithoutOpenAttempt));
         }
--- a/src/main/java/loadbalancer/sidecar/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/sidecar/EventLoopMonitor.java
@@ -6,8 +6,8 @@
 import loadbalancer.core.Log;
 
 /**
- * Logs when the event loop was late, which makes every response late: the process got too little CPU, was paused, or blocks its
- * loop.
+ * Logs when the event loop was late, which delays every response. Causes are too little CPU, a paused process, or a
+ * task that blocks the loop.
  */
 final class EventLoopMonitor {
     private static final long PERIOD_MILLIS = 50;
--- a/src/main/java/loadbalancer/sidecar/FleetConsensusSource.java
+++ b/src/main/java/loadbalancer/sidecar/FleetConsensusSource.java
@@ -6,7 +6,10 @@
 import loadbalancer.consensus.ConsensusGroup;
 import loadbalancer.consensus.ConsensusNode;
 
-/** Configuration decided by consensus among the sidecars: this one is a member, and a voter if its index is below the number of voters. */
+/**
+ * Configuration decided by consensus among the sidecars; this sidecar is a member, and a voter if its index is below
+ * the number of voters.
+ */
 final class FleetConsensusSource implements ConfigurationSource {
     private final ConsensusNode node;
     private final Network network;
--- a/src/main/java/loadbalancer/sidecar/GossipService.java
+++ b/src/main/java/loadbalancer/sidecar/GossipService.java
@@ -13,7 +13,7 @@
 import loadbalancer.gossip.FailureGossip;
 import loadbalancer.gossip.InFlightGossip;
 
-/** Sends and receives gossip about requests in flight and failed connects, as far as each is on. */
+/** Sends and receives gossip about requests in flight and about failed connects; the settings turn each on. */
 final class GossipService {
     private static final int ALL_PEERS = -1;
 
@@ -23,13 +23,13 @@
     private final EndpointService endpoints;
     private final int sidecarIndex;
 
-    /** Null while sidecars don't tell each other their requests in flight. */
+    /** Null where gossip about requests in flight is off. */
     private final InFlightGossip inFlight;
 
-    /** Null while sidecars don't tell each other of failed connects. */
+    /** Null where gossip about failed connects is off. */
     private final FailureGossip failures;
 
-    /** When the next in-flight message is due at the latest; null: never. */
+    /** Sends the next in-flight message; null where none is due. */
     private Timers.Timer inFlightTimer;
 
     private boolean inFlightChanged;
@@ -52,7 +52,7 @@
         this.failures = failures.orElse(null);
     }
 
-    /** Gossip as the settings allow it. */
+    /** The kinds of gossip that the settings turn on. */
     static GossipService forSettings(
             Settings settings, Timers timers, Clock clock, Engine.Network network, EndpointService endpoints) {
         return new GossipService(
@@ -65,12 +65,12 @@
                 FailureGossip.forSettings(settings));
     }
 
-    /** Sends nothing, and drops what it receives. */
+    /** Sends nothing, and drops all messages that it receives. */
     static GossipService disabled(Timers timers, Clock clock, Engine.Network network, EndpointService endpoints) {
         return new GossipService(timers, clock, network, endpoints, 0, Optional.empty(), Optional.empty());
     }
 
-    /** What peers tell, for the balancer. */
+    /** The load and failures that peers report, for the balancer. */
     PeerLoad peerLoad() {
         if (failures != null) {
             return new CombinedPeerLoad();
@@ -78,7 +78,7 @@
         return inFlight == null ? PeerLoad.NONE : inFlight;
     }
 
-    /** The endpoint list has changed. */
+    /** Called when the endpoint list has changed. */
     void endpointsChanged() {
         if (inFlight != null) {
             inFlight.onEndpoints(endpoints.readyIds());
@@ -124,7 +124,7 @@
         }
     }
 
-    /** A change is sent as soon as the pace allows. */
+    /** Schedules the next message as soon as the rate limit allows. */
     private void scheduleInFlight() {
         if (!inFlightChanged) {
             inFlightChanged = true;
@@ -161,13 +161,13 @@
             return;
         }
         long nowMicros = clock.nowMicros();
-        boolean toBeSent = outcome == Outcome.CONNECT_FAILED
+        boolean messageNeeded = outcome == Outcome.CONNECT_FAILED
                 && failures.connectFailed(
                         nowMicros,
                         upstream,
                         attempt.isConnectionRefused(),
                         attempt.openedConnection() ? nowMicros - attempt.sentMicros() : 0);
-        if (toBeSent && !failureMessageDue) {
+        if (messageNeeded && !failureMessageDue) {
             failureMessageDue = true;
             timers.schedule(failures.delayMicros(nowMicros), this::sendFailures);
         }
--- a/src/main/java/loadbalancer/sidecar/GossipSocket.java
+++ b/src/main/java/loadbalancer/sidecar/GossipSocket.java
@@ -16,7 +16,10 @@
 import java.util.function.BiConsumer;
 import loadbalancer.core.ListenSocket;
 
-/** Datagram socket for gossip between sidecars, or with a control tier. A peer's number is its place in the configuration. */
+/**
+ * Datagram socket for gossip between sidecars, or with a control tier. A peer's number is its index in the configured
+ * list.
+ */
 final class GossipSocket {
     private static final int MAX_BYTES = 256;
 
@@ -27,16 +30,20 @@
     private Channel channel;
 
     /** {@code receiver} gets the sender's number and the message, on the event loop. */
-    GossipSocket(BiConsumer<Integer, byte[]> heard, List<InetSocketAddress> peers, InetSocketAddress all) {
-        this.receiver = heard;
+    GossipSocket(
+            BiConsumer<Integer, byte[]> receiver, List<InetSocketAddress> peers, InetSocketAddress broadcastAddress) {
+        this.receiver = receiver;
         this.peers = peers;
-        this.broadcastAddress = all;
+        this.broadcastAddress = broadcastAddress;
         for (int i = 0; i < peers.size(); i++) {
             peerNumbers.put(peers.get(i), i);
         }
     }
 
-    /** {@code shared}: another process of this sidecar may listen on the address too; each peer's messages reach one of them. */
+    /**
+     * With {@code shared} another process of this sidecar may listen on the address too; each peer's messages reach one
+     * of the two.
+     */
     void listen(EventLoop loop, InetSocketAddress address, boolean shared) throws InterruptedException {
         channel = ListenSocket.reusePort(new Bootstrap(), shared)
                 .group(loop)
@@ -47,7 +54,7 @@
                 .channel();
     }
 
-    /** Sends to one peer, or to all with number -1. What can't be sent is dropped, as any datagram may be. */
+    /** Sends to one peer, or to all with number -1. A message that can't be sent is dropped, as any datagram may be. */
     void send(int peer, byte[] message) {
         InetSocketAddress to =
                 peer == -1 ? broadcastAddress : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
@@ -66,7 +73,7 @@
             receiver.accept(number, ByteBufUtil.getBytes(packet.content()));
         }
 
-        /** An ICMP error for an earlier datagram is no reason to stop listening. */
+        /** Ignores ICMP errors caused by earlier datagrams, so that the socket keeps listening. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
--- a/src/main/java/loadbalancer/sidecar/Handover.java
+++ b/src/main/java/loadbalancer/sidecar/Handover.java
@@ -14,7 +14,10 @@
 import loadbalancer.handover.SlowStartOwnership;
 import loadbalancer.membership.OutOfServiceUpstreams;
 
-/** One process's part in an upgrade with two processes of a sidecar: the shared state, and which process uses upstreams in slow start. */
+/**
+ * Coordinates this process with another process of the same sidecar during an upgrade: they share the out-of-service
+ * upstreams, and only one uses upstreams in slow start.
+ */
 final class Handover {
     private final HandoverFolder folder;
     private final SlowStartOwnership slowStartOwnership;
@@ -23,10 +26,10 @@
     private Clock clock;
     private EndpointService endpoints;
 
-    Handover(HandoverFolder notebook, Settings settings) {
-        this.folder = notebook;
+    Handover(HandoverFolder folder, Settings settings) {
+        this.folder = folder;
         slowStartOwnership = new SlowStartOwnership(settings.rules().overloadWindowMicros());
-        onlyProcess = notebook.open();
+        onlyProcess = folder.open();
         if (!onlyProcess) {
             slowStartOwnership.assignToOtherProcess();
         }
@@ -47,7 +50,8 @@
             // Same as a missing folder.
         }
         Log.event(
-                "handover.none", "TMPDIR is no folder that can be written to: bans and upgrades end with this process");
+                "handover.none",
+                "TMPDIR is not a writable folder: out-of-service upstreams are forgotten when this process ends, and no other process can take over");
         return null;
     }
 
@@ -56,18 +60,18 @@
         return onlyProcess;
     }
 
-    RoutingConstraints restrict(RoutingConstraints rest, Settings settings) {
-        return slowStartOwnership.restrict(rest, settings.rules().slowStartMicros());
+    RoutingConstraints restrict(RoutingConstraints constraints, Settings settings) {
+        return slowStartOwnership.restrict(constraints, settings.rules().slowStartMicros());
     }
 
-    /** On the event loop, before the endpoint service starts. */
-    void start(EventLoop on, Clock with, EndpointService of) {
-        loop = on;
-        clock = with;
-        endpoints = of;
+    /** Called on the event loop, before the endpoint service starts. */
+    void start(EventLoop eventLoop, Clock sidecarClock, EndpointService endpointService) {
+        loop = eventLoop;
+        clock = sidecarClock;
+        endpoints = endpointService;
         endpoints.restoreOutOfService(folder.read());
         folder.watch(
-                kept -> loop.execute(() -> endpoints.outOfService(kept)),
+                snapshot -> loop.execute(() -> endpoints.applyOutOfService(snapshot)),
                 () -> loop.execute(slowStartOwnership::onOtherProcessEnded));
     }
 
@@ -75,15 +79,21 @@
         slowStartOwnership.onReady(nowMicros);
     }
 
-    /** Records that an upstream is out of service or back, as it is in this process; {@code done} runs on the event loop once it is recorded. */
+    /**
+     * Records that an upstream was taken out of service or back in this process; {@code done} runs on the event loop
+     * once it is recorded.
+     */
     void recordOutOfService(String id, boolean out, Consumer<OutOfServiceUpstreams.Snapshot> done) {
         long nowMicros = clock.nowMicros();
         folder.write(
-                kept -> OutOfServiceUpstreams.withChange(kept, nowMicros, id, out),
-                kept -> loop.execute(() -> done.accept(kept)));
+                snapshot -> OutOfServiceUpstreams.withChange(snapshot, nowMicros, id, out),
+                snapshot -> loop.execute(() -> done.accept(snapshot)));
     }
 
-    /** At SIGTERM, from any thread but the event loop: whether a newer process serves, which then alone uses upstreams in slow start. */
+    /**
+     * Whether a newer process serves, which from then on alone uses upstreams in slow start. Called at SIGTERM, from
+     * any thread but the event loop.
+     */
     boolean hasSuccessor() {
         boolean hasSuccessor = folder.hasSuccessor();
         if (hasSuccessor) {
--- a/src/main/java/loadbalancer/sidecar/Listeners.java
+++ b/src/main/java/loadbalancer/sidecar/Listeners.java
@@ -13,7 +13,7 @@
     private final SidecarConfig config;
     private final HttpServer http;
 
-    /** Null where gRPC is off: then no class of HTTP/2 is loaded. */
+    /** Null where gRPC is off, so that no HTTP/2 class is loaded. */
     private final GrpcServer grpc;
 
     private final GossipSocket peers;
@@ -43,7 +43,7 @@
         this.shared = shared;
     }
 
-    /** Takes messages of peers and of the control tier; {@code control} is null without one. */
+    /** Receives messages of peers and of the control tier; {@code control} is null without one. */
     void listenForGossip(ControlOptions control) throws InterruptedException {
         if (config.peerListen() != null) {
             peers.listen(loop, config.peerListen(), shared);
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Stops taking requests; those in progress are answered. On the event loop.
+     * Stops accepting requests; those in progress are still answered. Event loop only.
      *
      * @param handedOver whether another process of this sidecar serves already
-     * @param onDone       runs when both protocols have answered all
+     * @param onDone     runs when both protocols have answered all requests
      */
     void stop(boolean handedOver, Runnable onDone) {
         int[] openProtocols = {grpc == null ? 1 : 2};
--- a/src/main/java/loadbalancer/sidecar/OperatorActions.java
+++ b/src/main/java/loadbalancer/sidecar/OperatorActions.java
@@ -15,7 +15,7 @@
     private final Sidecar sidecar;
     private final Handover handover;
 
-    /** {@code handover} is null where operators' calls concern this process alone. */
+    /** {@code handover} is null where operators' calls affect only this process. */
     OperatorActions(Sidecar sidecar, Handover handover) {
         this.sidecar = sidecar;
         this.handover = handover;
@@ -33,14 +33,14 @@
 
     @Override
     public void setOffline(String id, boolean out, Consumer<Boolean> known) {
-        EndpointService members = sidecar.engine().endpoints();
-        if (!members.setOutOfService(id, out)) {
+        EndpointService endpoints = sidecar.engine().endpoints();
+        if (!endpoints.setOutOfService(id, out)) {
             known.accept(false);
         } else if (handover == null) {
             known.accept(true);
         } else {
-            // Answered only once it is recorded: an upgrade may begin right after the answer.
-            handover.recordOutOfService(id, out, kept -> known.accept(true));
+            // Responds only once the change is recorded, because an upgrade may begin right after the response.
+            handover.recordOutOfService(id, out, snapshot -> known.accept(true));
         }
     }
 
@@ -51,34 +51,34 @@
 
     /** Reads the policy file on a thread of its own, because the disk may be slow. */
     @Override
-    public void propose(Consumer<String> why) {
+    public void propose(Consumer<String> result) {
         OperatorConfiguration operator = sidecar.configuration().operator();
         if (operator.control() != null) {
-            why.accept(sidecar.engine().agreedConfiguration().propose(new byte[0]));
+            result.accept(sidecar.engine().agreedConfiguration().propose(new byte[0]));
             return;
         }
         if (operator.consensus() == null) {
-            why.accept("there is no policy file any more: the operator's file has lost [consensus]");
+            result.accept("there is no policy file: the reloaded operator's file has no [consensus]");
             return;
         }
         Path file = operator.consensus().file();
-        new Thread(() -> proposeContent(file, why), "policy-file").start();
+        new Thread(() -> proposeContent(file, result), "policy-file").start();
     }
 
-    private void proposeContent(Path file, Consumer<String> why) {
+    private void proposeContent(Path file, Consumer<String> result) {
         try {
             byte[] content = Files.readAllBytes(file);
             sidecar.loop()
                     .execute(() ->
-                            why.accept(sidecar.engine().agreedConfiguration().propose(content)));
+                            result.accept(sidecar.engine().agreedConfiguration().propose(content)));
         } catch (IOException exception) {
-            sidecar.loop().execute(() -> why.accept(file + ": can't be read: " + exception));
+            sidecar.loop().execute(() -> result.accept(file + ": policy file can't be read: " + exception));
         }
     }
 
     @Override
-    public void abort(Consumer<String> why) {
-        why.accept(sidecar.engine().agreedConfiguration().abort());
+    public void abort(Consumer<String> result) {
+        result.accept(sidecar.engine().agreedConfiguration().abort());
     }
 
     @Override
@@ -86,6 +86,6 @@
         sidecar.httpServer().setOutOfService(out);
         Log.event(
                 out ? "service.out" : "service.in",
-                out ? "out of service: clients are asked to leave" : "back in service");
+                out ? "out of service: clients are asked to close their connections" : "back in service");
     }
 }
--- a/src/main/java/loadbalancer/sidecar/Reload.java
+++ b/src/main/java/loadbalancer/sidecar/Reload.java
@@ -7,8 +7,9 @@
 import sun.misc.SignalHandler;
 
 /**
- * Rereads the configuration and the operator's file on SIGHUP. Registered first thing, because an unhandled SIGHUP ends the process; a signal before
- * there is a sidecar is remembered. Files are read on the signal's thread; the event loop only gets the result.
+ * Rereads the configuration and the operator's file on SIGHUP. Registered before anything else, because an unhandled
+ * SIGHUP ends the process; a signal that arrives before the sidecar has started is handled once it has. Files are read
+ * on the signal's thread; the event loop only gets the result.
  */
 final class Reload {
     private final Map<String, String> environment;
@@ -17,9 +18,9 @@
     private SidecarConfig activeConfig;
     private boolean requested;
 
-    Reload(Map<String, String> environment, SidecarMain.OperatorConfigurationReader operators) {
+    Reload(Map<String, String> environment, SidecarMain.OperatorConfigurationReader operatorFile) {
         this.environment = environment;
-        this.operatorFile = operators;
+        this.operatorFile = operatorFile;
         // nohup makes the process and its children ignore the signal, and then the runtime can't handle it.
         if (Signal.handle(new Signal("HUP"), signal -> onSignal()) == SignalHandler.SIG_IGN) {
             Log.event("reload.deaf", "SIGHUP is ignored by whoever started this: a new configuration will not be seen");
@@ -31,13 +32,13 @@
         reloadIfRequested();
     }
 
-    synchronized void sidecarStarted(Sidecar started, SidecarConfig with) {
+    synchronized void sidecarStarted(Sidecar started, SidecarConfig config) {
         sidecar = started;
-        activeConfig = with;
+        activeConfig = config;
         reloadIfRequested();
     }
 
-    /** An invalid file changes nothing: the configuration in force stays. */
+    /** Applies the files only if both are valid; otherwise the active configuration stays. */
     private void reloadIfRequested() {
         if (sidecar == null || !requested) {
             return;
--- a/src/main/java/loadbalancer/sidecar/ShutdownHook.java
+++ b/src/main/java/loadbalancer/sidecar/ShutdownHook.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Graceful shutdown on SIGTERM, with exit code 0. Registered first thing, because an unhandled SIGTERM ends the process with code 143. Before there
- * is a sidecar it exits at once; during the start it waits for its end; later it serves on and answers all requests in flight.
+ * Graceful shutdown on SIGTERM, with exit code 0. Registered before anything else, because an unhandled SIGTERM ends
+ * the process with code 143. Before the sidecar exists the process exits at once; during the start it first waits until
+ * the start is complete. Then all requests in flight are answered before it exits.
  */
 final class ShutdownHook {
     private final Thread hook = new Thread(this::stopGracefully, "ending");
@@ -15,7 +16,7 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    /** From now on the sidecar may take requests. */
+    /** Called before the start; the sidecar may take requests from now on. */
     synchronized void sidecarStarting(Sidecar starting) {
         sidecar = starting;
     }
@@ -24,7 +25,10 @@
         sidecarStarted.countDown();
     }
 
-    /** The start has failed with this exit code, which holds whatever signal comes; there is nothing to answer. */
+    /**
+     * Called when the start has failed. The process ends with this exit code even if a signal arrives, as no requests
+     * are in flight.
+     */
     int startFailed(int code) {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
@@ -44,15 +48,15 @@
                 return;
             }
         }
-        CountDownLatch empty = new CountDownLatch(1);
+        CountDownLatch stopped = new CountDownLatch(1);
         try {
             sidecarStarted.await();
-            serving.stop(empty::countDown);
-            empty.await();
+            serving.stop(stopped::countDown);
+            stopped.await();
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
-        // A completed shutdown is a success, whatever signal asked for it.
+        // A completed shutdown is a success, whichever signal requested it.
         Runtime.getRuntime().halt(0);
     }
 }
--- a/src/main/java/loadbalancer/sidecar/Sidecar.java
+++ b/src/main/java/loadbalancer/sidecar/Sidecar.java
@@ -28,9 +28,9 @@
 import loadbalancer.operator.OperatorConfiguration;
 import loadbalancer.operator.OperatorConfiguration.DiskOptions;
 
-/** One sidecar: starts its parts on one event loop, which owns them all, and ends them in good order. */
+/** One sidecar: starts its parts on one event loop, which owns them all, and shuts them down in order. */
 final class Sidecar {
-    /** Descriptors of the program itself: its files, its listeners and its selector. */
+    /** File descriptors that the process needs itself: for its files, listeners and selector. */
     private static final int RESERVED_DESCRIPTORS = 48;
 
     private static final int MIN_CONNECTIONS = 32;
@@ -38,7 +38,7 @@
     /** An address that does not respond within this time counts as no upstream. */
     private static final long ENDPOINT_CHECK_MILLIS = 300;
 
-    /** Two parts of one response may be this far apart at least. */
+    /** Lower bound on the pause that is allowed between two parts of a response. */
     private static final long MIN_STALL_MICROS = 10_000;
 
     /** Upper bound on the time a restarted sidecar waits to learn the agreed configuration before it reports ready. */
@@ -59,24 +59,28 @@
     /** Null where no other process can take over from this one. */
     private final Handover handover;
 
-    /** Null where operators have no address here. */
+    /** Null without an admin address. */
     private InetSocketAddress adminAddress;
 
     /** Null before the start. */
     private DiscoveryHttpClient discoveryClient;
 
-    Sidecar(SidecarConfig config, OperatorConfiguration operator, Engine.BalancerFactory module) {
-        this(config, operator, module, null);
+    Sidecar(SidecarConfig config, OperatorConfiguration operator, Engine.BalancerFactory balancerFactory) {
+        this(config, operator, balancerFactory, null);
     }
 
-    Sidecar(SidecarConfig config, OperatorConfiguration operator, Engine.BalancerFactory module, Handover handover) {
+    Sidecar(
+            SidecarConfig config,
+            OperatorConfiguration operator,
+            Engine.BalancerFactory balancerFactory,
+            Handover handover) {
         this.handover = handover;
         this.config = config;
-        this.balancerFactory = module;
+        this.balancerFactory = balancerFactory;
         Settings settings = config.settings();
         RequestClasses classes = new RequestClasses(settings.classes());
         int maxConnections = maxConnections(config);
-        // Clients may have a third of all in requests, and others connect and send nothing.
+        // A third of all connections may carry client requests; other clients connect and send nothing.
         int maxClientConnections = maxConnections * 5 / 8;
         Upstreams upstreams = new Upstreams(
                 loop,
@@ -199,12 +203,12 @@
         return configuration;
     }
 
-    /** Null where operators have no address here. */
+    /** Null without an admin address. */
     InetSocketAddress adminAddress() {
         return adminAddress;
     }
 
-    /** Where clients connect to; null while another process of this sidecar serves them. */
+    /** Address that clients connect to; null until this process listens on it. */
     InetSocketAddress listenAddress() {
         return listeners.httpAddress();
     }
@@ -220,9 +224,9 @@
     }
 
     /**
-     * Before {@link #start}: serves, but reports ready only after {@link #endWarmUp}.
+     * Called before {@link #start}: the sidecar serves requests, but reports ready only after {@link #endWarmUp}.
      *
-     * @param abort runs when a client's request comes during the warm-up
+     * @param abort runs when a client's request arrives during the warm-up
      */
     void startWarmUp(Runnable abort) {
         httpServer.startWarmUp(abort);
@@ -233,7 +237,7 @@
         awaitAgreedConfiguration();
         if (listenAddress() == null
                 && !loop.submit(httpServer::isStopping).sync().getNow()) {
-            // Not before: the kernel connects clients to this process at once, which it then has to serve.
+            // The kernel connects clients to this process as soon as it listens, so it listens only once it can serve.
             listeners.listenForHttp();
             logListenAddress();
         }
@@ -246,7 +250,7 @@
                 .sync();
     }
 
-    /** Bounded, since nobody waits for a fleet that can't tell. */
+    /** Waits at most {@link #LEARN_MILLIS}, so that an unreachable fleet or control tier doesn't prevent the start. */
     private void awaitAgreedConfiguration() throws InterruptedException {
         if (engine.agreedConfiguration() == null) {
             return;
@@ -254,16 +258,16 @@
         CountDownLatch learned = new CountDownLatch(1);
         loop.execute(() -> engine.agreedConfiguration().onceLearned(learned::countDown));
         if (!learned.await(LEARN_MILLIS, TimeUnit.MILLISECONDS)) {
-            Log.event("policy.careful", "has not heard which policy is in force: goes by its own file until it does");
+            Log.event("policy.careful", "has not learned the active policy: applies the operator's file until it does");
         }
     }
 
-    /** Takes over reloaded files while requests are in progress. */
+    /** Applies reloaded files while requests are in progress. */
     void reconfigure(SidecarConfig reloadedConfig, OperatorConfiguration reloadedOperator) {
         loop.execute(() -> configuration.apply(reloadedConfig, reloadedOperator, discoveryClient));
     }
 
-    /** A reloaded file was invalid. */
+    /** Records that a reloaded file was invalid. */
     void reloadRejected() {
         loop.execute(configuration::rejected);
     }
@@ -272,7 +276,7 @@
     void stop(Runnable stopped) {
         boolean handedOver = handover != null && handover.hasSuccessor();
         if (handedOver) {
-            Log.event("handover.leaves", config.name() + " leaves to the process that has come beside it");
+            Log.event("handover.leaves", config.name() + " stops: another process of this sidecar has taken over");
         }
         loop.execute(() -> listeners.stop(handedOver, () -> {
             engine.endpoints().stop();
@@ -281,7 +285,7 @@
         }));
     }
 
-    /** Ends at once, whatever is in progress. */
+    /** Shuts down at once, without waiting for requests in progress. */
     void shutdownNow() {
         loop.execute(() -> {
             engine.endpoints().stop();
--- a/src/main/java/loadbalancer/sidecar/SidecarConfig.java
+++ b/src/main/java/loadbalancer/sidecar/SidecarConfig.java
@@ -20,7 +20,10 @@
 import loadbalancer.settings.SettingsException;
 import loadbalancer.settings.SettingsReader;
 
-/** The platform's configuration of one sidecar. {@code peerListen}, {@code peerBroadcast} and {@code admin} are null where there are none. */
+/**
+ * The platform's configuration of one sidecar. {@code peerListen}, {@code peerBroadcast} and {@code adminAddress} are
+ * null where not configured.
+ */
 record SidecarConfig(
         String name,
         InetSocketAddress listen,
@@ -45,13 +48,13 @@
         }
     }
 
-    /** The limits in force as text for the log. */
+    /** The active limits as text for the log. */
     String describeLimits() {
         return maxDescriptors + " descriptors, "
                 + settings.classes().stream()
-                        .map(requestClass ->
-                                requestClass.name() + " wanted within " + requestClass.latencyObjectiveMicros() / 1000
-                                        + " ms of " + requestClass.deadlineMicros() / 1000)
+                        .map(requestClass -> requestClass.name() + ": latency objective / deadline in ms "
+                                + requestClass.latencyObjectiveMicros() / 1000 + " / "
+                                + requestClass.deadlineMicros() / 1000)
                         .collect(Collectors.joining(", "));
     }
 
@@ -64,7 +67,7 @@
         try {
             text = Files.readAllBytes(Path.of(path));
         } catch (IOException | InvalidPathException exception) {
-            throw new InvalidConfigException("BALANCER_CONFIG can't be read: " + exception);
+            throw new InvalidConfigException("BALANCER_CONFIG names a file that can't be read: " + exception);
         }
         try {
             return parse(JsonObject.parse(text), environment);
@@ -75,45 +78,47 @@
         }
     }
 
-    /** The same settings for the warm-up's sidecar, without peers. */
-    SidecarConfig forWarmUp(InetSocketAddress listens, InetSocketAddress asks, EndpointList knows) {
+    /** The configuration for the warm-up's sidecar: the same settings, without peers and admin address. */
+    SidecarConfig forWarmUp(InetSocketAddress listen, InetSocketAddress discovery, EndpointList knownEndpoints) {
         return new SidecarConfig(
                 name,
-                listens,
-                asks,
+                listen,
+                discovery,
                 seed,
                 maxDescriptors,
                 null,
                 List.of(),
                 null,
                 null,
-                knows,
+                knownEndpoints,
                 settings,
                 connectTimeoutMicros,
                 presentKeys);
     }
 
-    /** The keys and values of the file without the endpoint list. */
+    /** The keys and values of the file, except for those of the endpoint list. */
     private static Map<String, String> presentKeys(JsonObject json) {
         Map<String, String> keys = json.flattened();
         keys.keySet().removeIf(k -> k.startsWith("known."));
         return keys;
     }
 
-    /** Checks that a reloaded file has every key of the one in force. */
-    void requireKeysOf(SidecarConfig inForce) throws InvalidConfigException {
-        String missing = SettingsCompleteness.firstMissingKey(inForce.presentKeys, presentKeys);
+    /** Checks that this reloaded file has every key of the active one. */
+    void requireKeysOf(SidecarConfig active) throws InvalidConfigException {
+        String missing = SettingsCompleteness.firstMissingKey(active.presentKeys, presentKeys);
         if (missing != null) {
-            throw new InvalidConfigException(
-                    "configuration: '" + missing + "' is missing, which the file in force has");
+            throw new InvalidConfigException("configuration: '" + missing + "' is missing, but the active file has it");
         }
     }
 
-    /** Reads the file again; its discovery address goes before the environment's, which dates from the start. */
+    /**
+     * Reads the file again; its discovery address overrides the environment's, which dates from the start of the
+     * process.
+     */
     static SidecarConfig reread(Map<String, String> environment) throws InvalidConfigException {
-        Map<String, String> rest = new HashMap<>(environment);
-        rest.remove("BALANCER_DISCOVERY");
-        return read(rest);
+        Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove("BALANCER_DISCOVERY");
+        return read(withoutDiscovery);
     }
 
     private static SidecarConfig parse(JsonObject json, Map<String, String> environment) {
@@ -124,13 +129,13 @@
         for (String peer : json.stringsOrEmpty("peers")) {
             peers.add(address("peers", peer));
         }
-        int sockets = (int) (json.has("limits") ? json.object("limits").integerOr("sockets", 1024) : 1024);
+        int maxDescriptors = (int) (json.has("limits") ? json.object("limits").integerOr("sockets", 1024) : 1024);
         return new SidecarConfig(
                 name,
                 requiredAddress(json, environment, "listen", "BALANCER_LISTEN"),
                 requiredAddress(json, environment, "discovery", "BALANCER_DISCOVERY"),
                 seed(json.string("seed")),
-                sockets,
+                maxDescriptors,
                 optionalAddress(json, "peer_listen"),
                 peers,
                 optionalAddress(json, "peers_all"),
@@ -169,7 +174,7 @@
         try {
             return Addresses.parse(text);
         } catch (IllegalArgumentException exception) {
-            throw new IllegalArgumentException("'" + field + "' is no address: '" + text + "'");
+            throw new IllegalArgumentException("'" + field + "': expected IP:port, found '" + text + "'");
         }
     }
 
@@ -177,7 +182,8 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException exception) {
-            throw new IllegalArgumentException("'seed' is no hexadecimal number: '" + text + "'");
+            throw new IllegalArgumentException(
+                    "'seed': expected a hexadecimal number of at most 16 digits, found '" + text + "'");
         }
     }
 }
--- a/src/main/java/loadbalancer/sidecar/SidecarMain.java
+++ b/src/main/java/loadbalancer/sidecar/SidecarMain.java
@@ -9,9 +9,12 @@
 import loadbalancer.operator.OperatorConfiguration;
 import loadbalancer.toml.ConfigurationException;
 
-/** The process of one sidecar: reads its files, starts the sidecar, warms it up, and serves until a signal ends it. */
+/**
+ * Entry point of one sidecar process: reads its files, starts the sidecar, warms it up, and serves until a signal ends
+ * it.
+ */
 public final class SidecarMain {
-    /** Exit code of a start that the configuration or a taken address prevents. */
+    /** Exit code where an invalid configuration or an address in use prevents the start. */
     private static final int EXIT_CONFIGURATION = 2;
 
     private static final int EXIT_START_FAILED = 1;
@@ -27,16 +30,16 @@
         reload = new Reload(environment, operatorReader);
     }
 
-    /** Reads the operator's file, where there is one. */
+    /** Reads the operator's file, if there is one. */
     public interface OperatorConfigurationReader {
         /** The file's content, or {@link OperatorConfiguration#NONE} without a file. */
         OperatorConfiguration read() throws ConfigurationException;
     }
 
     /**
-     * Runs one sidecar until it is asked to end.
+     * Runs one sidecar until a signal ends the process.
      *
-     * @return the exit code of a start that failed; otherwise the signal's handler ends the process
+     * @return the exit code, if the start failed; otherwise the shutdown hook ends the process
      */
     public static int serve(Map<String, String> environment, OperatorConfigurationReader operatorReader)
             throws InterruptedException {
@@ -77,7 +80,7 @@
     private int serve(Sidecar sidecar, SidecarConfig config, OperatorConfiguration operator)
             throws InterruptedException {
         WarmUp warmUp = new WarmUp(config, Engine.balancer(operator));
-        sidecar.startWarmUp(warmUp::interrupted);
+        sidecar.startWarmUp(warmUp::interrupt);
         shutdownHook.sidecarStarting(sidecar);
         try {
             sidecar.start();
@@ -90,7 +93,7 @@
         } else {
             Log.event(
                     "handover.begun",
-                    config.name() + " takes over: it listens once it is ready, beside the process that serves");
+                    config.name() + " takes over: it listens once it is ready, while the former process still serves");
         }
         reload.sidecarStarted(sidecar, config);
         long startNanos = System.nanoTime();
@@ -98,7 +101,7 @@
         warmUp.run();
         try {
             sidecar.endWarmUp();
-        } catch (Exception exception) { // As above.
+        } catch (Exception exception) { // Netty's checked exceptions, as above.
             return startFailed(exception);
         }
         logReady((System.nanoTime() - startNanos) / 1_000_000, cpuMillis, CpuTime.usedMillis());
@@ -106,7 +109,7 @@
         return 0;
     }
 
-    /** Together, time and CPU tell whether a slow start had too much to do or too little CPU. */
+    /** Logs elapsed and CPU time, which together show whether a slow start had too much work or too little CPU. */
     private static void logReady(long warmUpMillis, long cpuBeforeMillis, long cpuMillis) {
         String cpu = cpuMillis < 0
                 ? ""
@@ -115,16 +118,16 @@
         Log.event("ready", "ready after a rehearsal of " + warmUpMillis + " ms" + cpu);
     }
 
-    /** Why this sidecar can't take part in consensus, if it can't. */
+    /** Why this sidecar can't take part in consensus; empty if it can. */
     private static Optional<String> consensusConflict(
             ConsensusOptions consensus, SidecarConfig config, Handover handover) {
         int sidecarCount = config.settings().sidecarCount();
         if (config.peerListen() == null || config.peers().size() < sidecarCount) {
-            return Optional.of(
-                    "wants words between all sidecars: peer_listen, and peers with " + sidecarCount + " addresses");
+            return Optional.of("needs gossip between all sidecars: expected peer_listen, and peers with " + sidecarCount
+                    + " addresses");
         }
         if (handover != null) {
-            return Optional.of("wants no second process of one sidecar beside it: TMPDIR is to be empty");
+            return Optional.of("allows only one process of a sidecar at a time: TMPDIR must be empty");
         }
         if (consensus.voters() > sidecarCount) {
             return Optional.of("voters: expected at most the " + sidecarCount + " sidecars that there are, found "
--- a/src/main/java/loadbalancer/sidecar/SidecarNetwork.java
+++ b/src/main/java/loadbalancer/sidecar/SidecarNetwork.java
@@ -21,7 +21,7 @@
         this.endpointCheck = endpointCheck;
     }
 
-    /** Before the engine's start. {@code replicas}: null without a control tier. */
+    /** Called before the engine's start. {@code replicaSocket} is null without a control tier. */
     void connect(GossipSocket peerSocket, GossipSocket replicaSocket) {
         peers = peerSocket;
         replicas = replicaSocket;
--- a/src/main/java/loadbalancer/sidecar/TracingSetup.java
+++ b/src/main/java/loadbalancer/sidecar/TracingSetup.java
@@ -7,7 +7,7 @@
 import loadbalancer.trace.Tracer;
 import loadbalancer.trace.export.TraceExport;
 
-/** A tracer with its exports. */
+/** A tracer and its exporters. */
 final class TracingSetup {
     /** Time for the last spans at shutdown; the platform may kill a sidecar 0.7 s after its last response. */
     private static final long MAX_FLUSH_MILLIS = 300;
@@ -26,17 +26,17 @@
                         export.enqueue(trace, verdict);
                     }
                 },
-                exception -> Log.fault("tracing failed and is off, service goes on", exception));
+                exception -> Log.fault("tracing failed and is off; requests are still served", exception));
     }
 
     Tracer tracer() {
         return tracer;
     }
 
-    /** Flushes on a thread of its own, because receivers may be slow. {@code onDone} runs on any thread. */
+    /** Flushes on a thread of its own, because collectors may be slow. {@code onDone} runs on that thread. */
     void close(Runnable onDone) {
         exports.forEach(TraceExport::close);
-        Thread end = new Thread(
+        Thread flusher = new Thread(
                 () -> {
                     try {
                         for (TraceExport export : exports) {
@@ -62,7 +62,7 @@
                     }
                 },
                 "traces-end");
-        end.setDaemon(true);
-        end.start();
+        flusher.setDaemon(true);
+        flusher.start();
     }
 }
--- a/src/main/java/loadbalancer/sidecar/TracingSwitch.java
+++ b/src/main/java/loadbalancer/sidecar/TracingSwitch.java
@@ -10,8 +10,8 @@
 import loadbalancer.operator.OperatorConfiguration.TraceOptions;
 
 /**
- * Turns tracing on and off while requests are in progress. Without tracing none of its classes is loaded. All on the event loop,
- * except {@link #create}.
+ * Turns tracing on and off while requests are in progress. Without tracing none of its classes is loaded. Event loop
+ * only, except for {@link #create}.
  */
 final class TracingSwitch {
     private final EventLoop loop;
@@ -33,12 +33,15 @@
         this.seed = seed;
     }
 
-    /** Loads the tracing library, which takes long: not on the event loop. */
+    /** Loads the tracing library, which is too slow for the event loop. */
     TracingSetup create(TraceOptions options) {
         return new TracingSetup(options, instance, clock, seed);
     }
 
-    /** Null turns tracing off. Requests in progress keep their traces, which the former setup still exports. */
+    /**
+     * Replaces the active setup; null turns tracing off. Requests in progress keep their traces, which the former setup
+     * still exports.
+     */
     void install(TracingSetup setup) {
         TracingSetup former = active;
         active = setup;
@@ -49,14 +52,14 @@
     }
 
     /**
-     * Takes over reloaded options; null turns tracing off.
+     * Applies reloaded options; null turns tracing off.
      *
-     * @param stillWanted asked once the library is loaded: a later reload may have overtaken this one
+     * @param stillWanted tested once the library is loaded, because a later reload may have replaced the options
      */
     void reload(TraceOptions options, Predicate<TraceOptions> stillWanted) {
         if (options == null) {
             install(null);
-            Log.event("reload.traces", "keeps no traces from now on");
+            Log.event("reload.traces", "tracing is turned off");
             return;
         }
         Runnable creation = () -> {
@@ -64,7 +67,7 @@
             loop.execute(() -> {
                 if (stillWanted.test(options) && !stopped) {
                     install(setup);
-                    Log.event("reload.traces", "keeps traces as its file says now");
+                    Log.event("reload.traces", "tracing options are reloaded");
                 } else {
                     setup.close(() -> {});
                 }
@@ -73,7 +76,7 @@
         new Thread(creation, "traces-start").start();
     }
 
-    /** Installs nothing any more; what is active is the caller's to close. */
+    /** Turns tracing off for good; the caller closes the setup that was active. */
     Optional<TracingSetup> stop() {
         stopped = true;
         TracingSetup last = active;
--- a/src/main/java/loadbalancer/sidecar/WarmUp.java
+++ b/src/main/java/loadbalancer/sidecar/WarmUp.java
@@ -38,11 +38,12 @@
 import loadbalancer.operator.OperatorConfiguration;
 
 /**
- * Warm-up before a sidecar reports ready: a second sidecar in this process serves requests on loopback, with its upstreams, discovery and clients
- * played by {@link LoopbackPeers}. Otherwise the first requests would run interpreted code, be late, and make every upstream look slow. Real requests
- * end the warm-up at once.
+ * Warm-up before a sidecar reports ready: a second sidecar in this process serves requests on loopback, with its
+ * upstreams, discovery and clients played by {@link LoopbackPeers}. Without it the first requests would run interpreted
+ * code, be late, and make every upstream look slow. A real request ends the warm-up at once.
  *
- * <p>The warm-up delays service, so only the sidecar is real: its surroundings replay messages that were encoded once.
+ * <p>The warm-up delays service, so only the sidecar is real: the loopback peers replay messages that were encoded
+ * once.
  */
 final class WarmUp {
     /** Enough requests for their code to be compiled at the thresholds of {@code run} in the deploy file. */
@@ -62,28 +63,28 @@
     private final Engine.BalancerFactory balancerFactory;
     private volatile boolean interrupted;
 
-    WarmUp(SidecarConfig config, Engine.BalancerFactory module) {
+    WarmUp(SidecarConfig config, Engine.BalancerFactory balancerFactory) {
         this.config = config;
-        this.balancerFactory = module;
+        this.balancerFactory = balancerFactory;
     }
 
-    /** Ends the warm-up; callable from any thread, also before it has begun. */
-    void interrupted() {
+    /** Ends the warm-up; callable from any thread, even before it has started. */
+    void interrupt() {
         interrupted = true;
     }
 
     /** Returns after enough requests, or early on a failure: without warm-up a sidecar only starts slower. */
     void run() {
         Sidecar second = null;
-        try (LoopbackPeers stage = new LoopbackPeers()) {
+        try (LoopbackPeers peers = new LoopbackPeers()) {
             second = new Sidecar(
-                    config.forWarmUp(stage.here, stage.address(), endpointList(stage.address())),
+                    config.forWarmUp(peers.bindAddress, peers.address(), endpointList(peers.address())),
                     OperatorConfiguration.NONE,
                     balancerFactory);
             second.start();
-            stage.play(second.listenAddress());
+            peers.run(second.listenAddress());
         } catch (Exception exception) {
-            Log.fault("no rehearsal", exception);
+            Log.fault("warm-up failed", exception);
         } finally {
             if (second != null) {
                 second.shutdownNow();
@@ -91,8 +92,8 @@
         }
     }
 
-    private static EndpointList endpointList(InetSocketAddress stage) {
-        String address = stage.getAddress().getHostAddress() + ":" + stage.getPort();
+    private static EndpointList endpointList(InetSocketAddress peers) {
+        String address = peers.getAddress().getHostAddress() + ":" + peers.getPort();
         List<Endpoint> members = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
             members.add(new Endpoint(new Upstream("stage-" + i, "", "", -1, 0, 1, UpstreamState.READY), address));
@@ -133,7 +134,7 @@
         return response;
     }
 
-    /** A request encoded once, its id overwritten before each send, which saves the encoding of each. */
+    /** A request that is encoded once; before each send only its id is overwritten, which saves encoding it again. */
     private static final class EncodedRequest {
         static final String ID = "rehearsal-000000";
         private static final int DIGITS = 6;
@@ -145,7 +146,7 @@
             digitsAt = new String(bytes, StandardCharsets.ISO_8859_1).indexOf(ID) + ID.length() - DIGITS;
         }
 
-        ByteBuffer numbered(int number) {
+        ByteBuffer withNumber(int number) {
             for (int i = DIGITS - 1, rest = number; i >= 0; i--, rest /= 10) {
                 bytes[digitsAt + i] = (byte) ('0' + rest % 10);
             }
@@ -153,7 +154,7 @@
         }
     }
 
-    /** The message's bytes, as the library's encoder writes them. */
+    /** Encodes the message with Netty's encoder. */
     private static ByteBuffer encoded(ChannelHandler encoder, Object message) {
         EmbeddedChannel channel = new EmbeddedChannel(encoder);
         channel.writeOutbound(message);
@@ -165,28 +166,28 @@
     }
 
     /**
-     * Upstreams, discovery and clients on one thread. Messages are told apart by their head alone and not parsed. A discovery watch gets no
-     * response, as where nothing changes.
+     * Upstreams, discovery and clients on one thread. Messages are recognised by their start and the end of their head,
+     * and not parsed. A discovery watch gets no response, as if the list did not change.
      */
     private final class LoopbackPeers implements AutoCloseable {
         private final Selector selector = Selector.open();
         private final ServerSocketChannel listener = ServerSocketChannel.open();
-        private final InetSocketAddress here =
+        private final InetSocketAddress bindAddress =
                 new InetSocketAddress(config.listen().getAddress(), 0);
         private final ByteBuffer in = ByteBuffer.allocate(4096);
-        private final ByteBuffer answer = encoded(new HttpResponseEncoder(), response(false));
-        private final ByteBuffer lastAnswer = encoded(new HttpResponseEncoder(), response(true));
-        private final List<EncodedRequest> parts = new ArrayList<>();
+        private final ByteBuffer encodedResponse = encoded(new HttpResponseEncoder(), response(false));
+        private final ByteBuffer encodedLastResponse = encoded(new HttpResponseEncoder(), response(true));
+        private final List<EncodedRequest> requests = new ArrayList<>();
         private InetSocketAddress sidecar;
-        private int begun;
-        private int answered;
-        private int answers;
+        private int sentRequests;
+        private int receivedResponses;
+        private int sentResponses;
 
         LoopbackPeers() throws IOException {
-            listener.bind(here).configureBlocking(false);
+            listener.bind(bindAddress).configureBlocking(false);
             listener.register(selector, SelectionKey.OP_ACCEPT);
             for (RequestClass requestClass : config.settings().classes()) {
-                parts.add(new EncodedRequest(requestClass));
+                requests.add(new EncodedRequest(requestClass));
             }
         }
 
@@ -194,17 +195,18 @@
             return (InetSocketAddress) listener.getLocalAddress();
         }
 
-        void play(InetSocketAddress with) throws IOException {
-            sidecar = with;
+        void run(InetSocketAddress sidecarAddress) throws IOException {
+            sidecar = sidecarAddress;
             for (int i = 0; i < CLIENTS; i++) {
                 connect();
             }
             long endNanos = System.nanoTime() + MAX_DURATION_MILLIS * 1_000_000;
-            for (long left; !interrupted && answered < REQUESTS && (left = endNanos - System.nanoTime()) > 0; ) {
+            for (long left;
+                    !interrupted && receivedResponses < REQUESTS && (left = endNanos - System.nanoTime()) > 0; ) {
                 selector.select(
                         key -> {
                             try {
-                                take(key);
+                                handleReady(key);
                             } catch (IOException exception) {
                                 key.cancel();
                             }
@@ -213,7 +215,7 @@
             }
         }
 
-        private void take(SelectionKey key) throws IOException {
+        private void handleReady(SelectionKey key) throws IOException {
             if (key.isAcceptable()) {
                 SocketChannel upstream = listener.accept();
                 upstream.configureBlocking(false);
@@ -229,14 +231,17 @@
             String text = new String(in.array(), 0, in.position(), StandardCharsets.ISO_8859_1);
             for (int at = 0; (at = text.indexOf("\r\n\r\n", at)) >= 0; at += 4) {
                 if (key.attachment() == Boolean.TRUE) {
-                    if (++answered % REQUESTS_PER_CONNECTION == 0) {
+                    if (++receivedResponses % REQUESTS_PER_CONNECTION == 0) {
                         channel.close();
                         connect();
                         return;
                     }
-                    ask(channel);
+                    sendRequest(channel);
                 } else if (!text.startsWith("GET /registry/")) {
-                    channel.write(++answers % RESPONSES_PER_CLOSE == 0 ? lastAnswer.duplicate() : answer.duplicate());
+                    channel.write(
+                            ++sentResponses % RESPONSES_PER_CLOSE == 0
+                                    ? encodedLastResponse.duplicate()
+                                    : encodedResponse.duplicate());
                 }
             }
         }
@@ -245,13 +250,13 @@
             SocketChannel client = SocketChannel.open(sidecar);
             client.configureBlocking(false);
             client.register(selector, SelectionKey.OP_READ, Boolean.TRUE);
-            ask(client);
+            sendRequest(client);
         }
 
-        private void ask(SocketChannel client) throws IOException {
-            if (begun < REQUESTS) {
-                client.write(parts.get(begun % parts.size()).numbered(begun));
-                begun++;
+        private void sendRequest(SocketChannel client) throws IOException {
+            if (sentRequests < REQUESTS) {
+                client.write(requests.get(sentRequests % requests.size()).withNumber(sentRequests));
+                sentRequests++;
             }
         }
 
--- a/src/test/java/loadbalancer/sidecar/ClientGoneTest.java
+++ b/src/test/java/loadbalancer/sidecar/ClientGoneTest.java
@@ -32,7 +32,9 @@
         return rig;
     }
 
-    /** What is sent waits at a door that does not open, the first of it as a request; then its client goes, in each way. */
+    /**
+     * What is sent waits at a door that does not open, the first of it as a request; then its client goes, in each way.
+     */
     private static void isWithdrawn(String id, String sent) throws Exception {
         for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
             try (Rig rig = rig();
@@ -125,7 +127,10 @@
         }
     }
 
-    /** It lies unread in the kernel, behind a loop that stands still or a connection that nobody has accepted, and its client has gone. */
+    /**
+     * It lies unread in the kernel, behind a loop that stands still or a connection that nobody has accepted, and its
+     * client has gone.
+     */
     @Test
     void whileNobodyHasReadIt() throws Exception {
         for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
@@ -161,7 +166,10 @@
         }
     }
 
-    /** Its connection comes up, and then its client goes, while the loop stands still: both are there at once, that first. */
+    /**
+     * Its connection comes up, and then its client goes, while the loop stands still: both are there at once, that
+     * first.
+     */
     @Test
     void whileALoopThatStoodStillFindsItsConnectionFirst() throws Exception {
         for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
--- a/src/test/java/loadbalancer/sidecar/DiscoveryTest.java
+++ b/src/test/java/loadbalancer/sidecar/DiscoveryTest.java
@@ -143,8 +143,8 @@
     }
 
     /**
-     * A watch falls silent, then an upstream drains: what was missed is asked for on a new connection before it counts as told, and the
-     * module need not ask for it, which it would do after a pause.
+     * A watch falls silent, then an upstream drains: what was missed is asked for on a new connection before it counts
+     * as told, and the module need not ask for it, which it would do after a pause.
      */
     @Test
     void aWatchThatFallsSilentBeforeADrainIsMadeAnewAtOnce() throws Exception {
@@ -175,7 +175,10 @@
         }
     }
 
-    /** The first call at the new place is lost: its whole list still comes before it counts as told, 4 s after the new configuration. */
+    /**
+     * The first call at the new place is lost: its whole list still comes before it counts as told, 4 s after the new
+     * configuration.
+     */
     @Test
     void aDrainAtANewPlaceIsSeenThoughTheFirstCallThereIsLost() throws Exception {
         AtomicInteger calls = new AtomicInteger();
--- a/src/test/java/loadbalancer/sidecar/IdleTest.java
+++ b/src/test/java/loadbalancer/sidecar/IdleTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long idle connections are kept. An application may leave each connection lying after one answer and have a bound on how many it
- * holds: kept for seconds they keep it from sending anything. Seen in service: 128 held by it, 120 requests a second instead of 250.
+ * How long idle connections are kept. An application may leave each connection lying after one answer and have a bound
+ * on how many it holds: kept for seconds they keep it from sending anything. Seen in service: 128 held by it, 120
+ * requests a second instead of 250.
  */
 @Timeout(60)
 class IdleTest {
--- a/src/test/java/loadbalancer/sidecar/LargeTest.java
+++ b/src/test/java/loadbalancer/sidecar/LargeTest.java
@@ -433,7 +433,9 @@
         }
     }
 
-    /** Halves of bodies on many connections take no more memory than is set aside: past that they go on as they come. */
+    /**
+     * Halves of bodies on many connections take no more memory than is set aside: past that they go on as they come.
+     */
     @Test
     void whatManyConnectionsHoldHasABound() throws Exception {
         try (Rig rig = new Rig()) {
--- a/src/test/java/loadbalancer/sidecar/LateDoor.java
+++ b/src/test/java/loadbalancer/sidecar/LateDoor.java
@@ -43,7 +43,10 @@
         return server.accept();
     }
 
-    /** Hears out whoever comes until one does whom the test sends now; true where nobody else has sent a body of so many bytes to its end. */
+    /**
+     * Hears out whoever comes until one does whom the test sends now; true where nobody else has sent a body of so many
+     * bytes to its end.
+     */
     boolean ranNothing(int length) throws IOException {
         try (Socket last = new Socket(server.getInetAddress(), server.getLocalPort())) {
             last.shutdownOutput();
--- a/src/test/java/loadbalancer/sidecar/LeavingTest.java
+++ b/src/test/java/loadbalancer/sidecar/LeavingTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** SIGTERM in the instant in which a client has sent something that nobody has read, or waits for something that does not come. */
+/**
+ * SIGTERM in the instant in which a client has sent something that nobody has read, or waits for something that does
+ * not come.
+ */
 @Timeout(60)
 class LeavingTest {
     /** Longer than the application is served on and a quiet connection is left alone, with the looks after that. */
@@ -56,8 +59,9 @@
     }
 
     /**
-     * Asks for the stop, and stands still until all that the stop waits for has passed. {@code what} runs after that and right before the
-     * stop's next look, in one turn of the loop: what it sends can't be read between. False where the loop was too slow for that order.
+     * Asks for the stop, and stands still until all that the stop waits for has passed. {@code what} runs after that
+     * and right before the stop's next look, in one turn of the loop: what it sends can't be read between. False where
+     * the loop was too slow for that order.
      */
     private static boolean beforeTheNextLook(Rig rig, Runnable stopped, Does what) throws InterruptedException {
         EventLoop loop = rig.sidecar.loop();
--- a/src/test/java/loadbalancer/sidecar/RepeatsTest.java
+++ b/src/test/java/loadbalancer/sidecar/RepeatsTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What may be sent a second time, and until when, whatever the connections do: with the program's own module but where said. */
+/**
+ * What may be sent a second time, and until when, whatever the connections do: with the program's own module but where
+ * said.
+ */
 @Timeout(60)
 class RepeatsTest {
     /** As the settings have them: two upstreams, no reports, and a class that must not be repeated. */
@@ -56,8 +59,8 @@
     }
 
     /**
-     * An idle connection is closed in the instant in which it is written to: the request may have run. What is safe or keyed is tried again, what
-     * is unsafe has failed.
+     * An idle connection is closed in the instant in which it is written to: the request may have run. What is safe or
+     * keyed is tried again, what is unsafe has failed.
      */
     @Test
     void anIdleConnectionThatBreaksAsItIsWrittenToMayHaveRunWhatItCarried() throws Exception {
@@ -100,7 +103,10 @@
         }
     }
 
-    /** Upstreams that hang: an unsafe request is out once, until its time is over, and is then answered as failed, not refused. */
+    /**
+     * Upstreams that hang: an unsafe request is out once, until its time is over, and is then answered as failed, not
+     * refused.
+     */
     @Test
     void anUnsafeRequestNeverHasTwoAttemptsOutAndIsNotRefusedOnceItMayHaveRun() throws Exception {
         AtomicInteger sent = new AtomicInteger();
@@ -109,8 +115,8 @@
     }
 
     /**
-     * A repeat of a keyed request is decided inside the window, and its connection comes up after it: those who drop repeats have forgotten the
-     * first by then. The module is the test's, which repeats at once.
+     * A repeat of a keyed request is decided inside the window, and its connection comes up after it: those who drop
+     * repeats have forgotten the first by then. The module is the test's, which repeats at once.
      */
     @Test
     void aKeyedRepeatIsNotSentWhenItsConnectionComesUpAfterTheWindow() throws Exception {
--- a/src/test/java/loadbalancer/sidecar/RequestLifeTest.java
+++ b/src/test/java/loadbalancer/sidecar/RequestLifeTest.java
@@ -51,7 +51,10 @@
         }
     }
 
-    /** Of a loop that was late itself the module hears later, and the client is answered without it: such a play does not count. */
+    /**
+     * Of a loop that was late itself the module hears later, and the client is answered without it: such a play does
+     * not count.
+     */
     @Test
     void attemptsAreGivenUpAtTheDeadlineAndTheModuleAnswers() throws Exception {
         for (boolean inTime = false; !inTime; ) {
@@ -201,8 +204,8 @@
     }
 
     /**
-     * A loop that stands still, as in the first second of a start on half a core, reads nothing and opens nothing. What came
-     * due meanwhile must not be told as the upstream's silence: it would be left alone just then.
+     * A loop that stands still, as in the first second of a start on half a core, reads nothing and opens nothing. What
+     * came due meanwhile must not be told as the upstream's silence: it would be left alone just then.
      */
     @Test
     void aLoopThatStoodStillDoesNotTakeItForTheUpstreams() throws Exception {
--- a/src/test/java/loadbalancer/sidecar/Rig.java
+++ b/src/test/java/loadbalancer/sidecar/Rig.java
@@ -185,7 +185,9 @@
                 + remainingMs + "\r\n\r\n";
     }
 
-    /** Once the module has sent: waits until the tasks are done that begin to dial, each of which may queue the next. */
+    /**
+     * Once the module has sent: waits until the tasks are done that begin to dial, each of which may queue the next.
+     */
     void dials() throws InterruptedException {
         for (int i = 0; i < 10; i++) {
             sidecar.loop().submit(() -> {}).sync();
--- a/src/test/java/loadbalancer/sidecar/StoredDecisionLogTest.java
+++ b/src/test/java/loadbalancer/sidecar/StoredDecisionLogTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.api.parallel.ResourceLock;
 import org.junit.jupiter.api.parallel.Resources;
 
-/** Decisions on policies as a sidecar logs them, which {@code policy history} and {@code policy audit} read, and as its status tells them. */
+/**
+ * Decisions on policies as a sidecar logs them, which {@code policy history} and {@code policy audit} read, and as its
+ * status tells them.
+ */
 @ResourceLock(Resources.SYSTEM_ERR)
 class StoredDecisionLogTest {
     private static final String TEXT = "decision-log.txt", JSON = "decision-log.jsonl", STATUS = "policy-status.json";
@@ -173,7 +176,10 @@
                 written(false));
     }
 
-    /** The events and fields that programs read: all but the wall clock's time, which is one line a second, and the text for people. */
+    /**
+     * The events and fields that programs read: all but the wall clock's time, which is one line a second, and the text
+     * for people.
+     */
     @Test
     void theEventsAndFieldsForProgramsAreWrittenAgainByteForByte() {
         assertEquals(
@@ -190,7 +196,9 @@
         return TIME_AND_TEXT.matcher(line).replaceFirst("{\"atMs\":0$1,\"text\":\"\"$2");
     }
 
-    /** A line of JSON has the text that a line of text has; the sample has no program's name at the start of its lines. */
+    /**
+     * A line of JSON has the text that a line of text has; the sample has no program's name at the start of its lines.
+     */
     @Test
     void bothFormsOfTheStoredLogAreOfTheSameEvents() {
         assertEquals(
--- a/src/test/java/loadbalancer/sidecar/UpgradeTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpgradeTest.java
@@ -161,7 +161,10 @@
         }
     }
 
-    /** What operators took out stays out in the process that comes, whichever of the two they tell, until they call it back. */
+    /**
+     * What operators took out stays out in the process that comes, whichever of the two they tell, until they call it
+     * back.
+     */
     @Test
     void bansHoldOverAnUpgradeAndForBoth() throws Exception {
         try (Rig old = rig()) {
--- a/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
@@ -110,7 +110,10 @@
         }
     }
 
-    /** A drain and a call in one turn of the loop, in either order: a call after it gets no connection that rests, one before it is served. */
+    /**
+     * A drain and a call in one turn of the loop, in either order: a call after it gets no connection that rests, one
+     * before it is served.
+     */
     @Test
     void aDrainAndACallInOneTurnNeedNoNewConnection() throws Exception {
         for (boolean drainFirst : new boolean[] {true, false}) {
--- a/src/test/java/loadbalancer/testbed/fleet/PolicyChangeTest.java
+++ b/src/test/java/loadbalancer/testbed/fleet/PolicyChangeTest.java
@@ -251,7 +251,7 @@
             assertEquals(2, few.process().waitFor());
             SidecarProcess silent = world.peered(3, known, Map.of(), operator);
             silent.awaitLog(
-                    "operator's file: [consensus] wants words between all sidecars: peer_listen, and peers with 3 addresses");
+                    "operator's file: [consensus] needs gossip between all sidecars: expected peer_listen, and peers with 3 addresses");
             assertEquals(2, silent.process().waitFor());
         }
     }
