--- a/src/main/java/loadbalancer/sidecar/Engine.java
+++ b/src/main/java/loadbalancer/sidecar/Engine.java
@@ -95,8 +95,8 @@
     private AgreedConfiguration agreedConfiguration;
 
     /**
-     * @param operator the operator's options; what they leave out is off
-     * @param seed     of all random draws
+     * @param operator the operator's options; a subsystem without options is off
+     * @param seed     seed of all random numbers
      * @param network  the outgoing side: upstreams, peers and the control tier
      */
     public Engine(
--- a/src/test/java/loadbalancer/sidecar/BadInputTest.java
+++ b/src/test/java/loadbalancer/sidecar/BadInputTest.java
@@ -13,8 +13,8 @@
 @Timeout(60)
 class BadInputTest {
     @Test
-    void whatIsNoRequestOfTheProtocolIsSaidSo() throws Exception {
-        String good = Rig.get("a1", 9000);
+    void rejectsInvalidRequests() throws Exception {
+        String good = SidecarHarness.get("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
         cases.put("GET /api HTTP/1.1\r\n: : :\r\nbad header\r\n\r\n", 400);
@@ -50,11 +50,11 @@
                 "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k1\r\nContent-Length: 65536\r\n\r\n"
                         + "x".repeat(65_536),
                 200);
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.start();
             for (Map.Entry<String, Integer> c : cases.entrySet()) {
-                try (Peer.Client client = rig.client()) {
+                try (ScriptedServer.Client client = harness.client()) {
                     client.send(c.getKey());
                     assertEquals(
                             c.getValue(),
@@ -66,12 +66,12 @@
     }
 
     /**
-     * What stands behind a request whose end two readers may see in two places must reach no upstream, and the
-     * error comes without waiting for a body that was announced as huge.
+     * A request whose end two parsers may see in different places (request smuggling) must not let the bytes behind it
+     * reach an upstream, and the error comes without waiting for a body that was announced as huge.
      */
     @Test
-    void nothingHiddenInABodyPassesAndTheConnectionEnds() throws Exception {
-        String hidden = Rig.get("hidden", 9000);
+    void rejectsRequestSmugglingAndClosesConnection() throws Exception {
+        String hidden = SidecarHarness.get("hidden", 9000);
         String head = "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k1\r\n";
         String chunked = "Transfer-Encoding: chunked\r\n";
         Map<String, Integer> cases = new LinkedHashMap<>();
@@ -85,114 +85,117 @@
         cases.put(head + "Content-Length: 67108865\r\n\r\n" + hidden, 413);
         cases.put(head + chunked + "\r\nzz\r\n" + hidden, 400);
         cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + hidden, 400);
-        try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
+        try (SidecarHarness harness = new SidecarHarness()) {
+            ScriptedServer up = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.start();
             for (Map.Entry<String, Integer> c : cases.entrySet()) {
-                try (Peer.Client client = rig.client()) {
+                try (ScriptedServer.Client client = harness.client()) {
                     client.send(c.getKey());
                     assertEquals(c.getValue(), client.status(), c.getKey());
-                    assertTrue(client.ended(), c.getKey());
+                    assertTrue(client.awaitClose(), c.getKey());
                 }
             }
-            assertTrue(up.messages.isEmpty(), "something hidden was passed on");
+            assertTrue(up.messages.isEmpty(), "a smuggled request was forwarded");
         }
     }
 
-    /** A word on the request being read must not overtake the answer to the one before it. */
+    /** An error for the request being read must not overtake the response to the request before it. */
     @Test
-    void anErrorWaitsForTheAnswerAheadOfIt() throws Exception {
+    void sendsErrorAfterResponseToEarlierRequest() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> {
                 try {
                     answer.await();
                 } catch (InterruptedException exception) {
                     throw new java.io.InterruptedIOException();
                 }
-                line.answer("200 OK", "", "first");
+                connection.respond("200 OK", "", "first");
             });
-            rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000)
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
+                client.send(SidecarHarness.get("a1", 20_000)
                         + "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000000\r\n\r\n");
-                rig.await("request a1");
+                harness.await("request a1");
                 answer.countDown();
-                assertEquals("first", client.answer().body());
+                assertEquals("first", client.response().body());
                 assertEquals(413, client.status());
-                assertTrue(client.ended());
+                assertTrue(client.awaitClose());
             }
         }
     }
 
-    /** Silence and halves hold descriptors that others need; each gets its end within 3 s of connecting. */
+    /**
+     * Silent clients and incomplete requests hold descriptors that others need; each is closed within 3 s of
+     * connecting.
+     */
     @Test
-    void whoSaysNothingOrOnlyHalfIsGivenUp() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            try (Peer.Client silent = rig.client();
-                    Peer.Client half = rig.client();
-                    Peer.Client body = rig.client();
-                    Peer.Client once = rig.client()) {
+    void closesSilentAndIncompleteConnections() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.start();
+            try (ScriptedServer.Client silent = harness.client();
+                    ScriptedServer.Client half = harness.client();
+                    ScriptedServer.Client body = harness.client();
+                    ScriptedServer.Client once = harness.client()) {
                 half.send("GET /api HTTP/1.1\r\nX-T");
                 body.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-                once.send(Rig.get("a1", 20_000));
+                once.send(SidecarHarness.get("a1", 20_000));
                 assertEquals(200, once.status());
-                assertTrue(silent.ended());
+                assertTrue(silent.awaitClose());
                 assertEquals(408, half.status());
                 assertEquals(408, body.status());
-                assertTrue(half.ended() && body.ended());
-                assertTrue(once.ended(), "a connection is kept for good for a client that asked once");
+                assertTrue(half.awaitClose() && body.awaitClose());
+                assertTrue(once.awaitClose(), "a connection with a single request was kept open");
             }
         }
     }
 
-    /** A time that no client waits would hold the request, and all that is kept for it, for days. */
+    /** An overlong X-Remaining-Ms would hold the request, and all that is kept for it, for days. */
     @Test
-    void nobodyWaitsLongerThanTheClassAllows() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 999_999_999));
+    void limitsRemainingTimeToDeadlineOfClass() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
+                client.send(SidecarHarness.get("a1", 999_999_999));
                 assertEquals(200, client.status());
-                assertTrue(Long.parseLong(rig.await("request").split(" ")[2]) <= 60_000_000);
+                assertTrue(Long.parseLong(harness.await("request").split(" ")[2]) <= 60_000_000);
             }
         }
     }
 
-    /** The id of a request that is held is another's: its answer must not go to both. */
+    /** The id of a request in progress must not be used again: the response must not go to both clients. */
     @Test
-    void theIdOfAnOpenRequestIsTaken() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            try (Peer.Client one = rig.client();
-                    Peer.Client other = rig.client()) {
-                one.send(Rig.get("a1", 20_000));
-                rig.await("request a1");
-                other.send(Rig.get("a1", 20_000));
+    void rejectsIdOfRequestInProgress() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> {});
+            harness.start();
+            try (ScriptedServer.Client one = harness.client();
+                    ScriptedServer.Client other = harness.client()) {
+                one.send(SidecarHarness.get("a1", 20_000));
+                harness.await("request a1");
+                other.send(SidecarHarness.get("a1", 20_000));
                 assertEquals(400, other.status());
             }
         }
     }
 
-    /** Not ready while there is nobody to send to: the application would begin to lose requests at once. */
+    /** The sidecar is not ready without an upstream, because the application would lose its first requests. */
     @Test
-    void readyOnlyOnceThereIsAnUpstream() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+    void isNotReadyWithoutUpstream() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.status());
             }
         }
     }
 
-    private static void broken(String json, String... named) {
+    private static void assertInvalid(String json, String... named) {
         SidecarConfig.InvalidConfigException e =
-                assertThrows(SidecarConfig.InvalidConfigException.class, () -> Rig.config(json));
+                assertThrows(SidecarConfig.InvalidConfigException.class, () -> SidecarHarness.config(json));
         for (String name : named) {
             assertTrue(e.getMessage().contains(name), e.getMessage());
         }
@@ -200,28 +203,33 @@
     }
 
     @Test
-    void aBrokenConfigurationIsOneLineThatNamesTheField() throws Exception {
+    void invalidConfigurationErrorIsOneLineThatNamesTheField() throws Exception {
         String good =
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\","
                         + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
-                        + Rig.list(1, true, Rig.entry("u", "127.0.0.1:8", "Ready", 7))
-                        + ",\"settings\":" + Rig.SETTINGS + ",\"new\":{\"x\":[1]}}";
+                        + SidecarHarness.list(1, true, SidecarHarness.entry("u", "127.0.0.1:8", "Ready", 7))
+                        + ",\"settings\":" + SidecarHarness.SETTINGS + ",\"new\":{\"x\":[1]}}";
         assertEquals(
                 7000,
-                Rig.config(good).knownEndpoints().endpoints().get(0).upstream().startedMicros());
-        assertEquals(0x8c1f30d27a5be964L, Rig.config(good).seed());
-        broken("", "JSON");
-        broken("[]", "JSON");
-        broken("{\n\n", "JSON");
-        broken(good.replace("\"listen\"", "\"x\""), "'listen' is missing");
-        broken(good.replace("127.0.0.1:0", "localhost:0"), "listen");
-        broken(good.replace("127.0.0.1:9", "127.0.0.1:99999"), "discovery");
-        broken(good.replace("[\"127.0.0.1:7\"]", "7"), "peers");
-        broken(good.replace("127.0.0.1:7", "7"), "peers");
-        broken(good.replace("8c1f30d27a5be964", "seed!"), "seed");
-        broken(good.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
-        broken(good.replace("\"balancers\":2,", ""), "settings", "balancers");
-        broken(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
+                SidecarHarness.config(good)
+                        .knownEndpoints()
+                        .endpoints()
+                        .get(0)
+                        .upstream()
+                        .startedMicros());
+        assertEquals(0x8c1f30d27a5be964L, SidecarHarness.config(good).seed());
+        assertInvalid("", "JSON");
+        assertInvalid("[]", "JSON");
+        assertInvalid("{\n\n", "JSON");
+        assertInvalid(good.replace("\"listen\"", "\"x\""), "'listen' is missing");
+        assertInvalid(good.replace("127.0.0.1:0", "localhost:0"), "listen");
+        assertInvalid(good.replace("127.0.0.1:9", "127.0.0.1:99999"), "discovery");
+        assertInvalid(good.replace("[\"127.0.0.1:7\"]", "7"), "peers");
+        assertInvalid(good.replace("127.0.0.1:7", "7"), "peers");
+        assertInvalid(good.replace("8c1f30d27a5be964", "seed!"), "seed");
+        assertInvalid(good.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
+        assertInvalid(good.replace("\"balancers\":2,", ""), "settings", "balancers");
+        assertInvalid(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
         assertThrows(SidecarConfig.InvalidConfigException.class, () -> SidecarConfig.read(Map.of()));
         assertThrows(
                 SidecarConfig.InvalidConfigException.class,
--- a/src/test/java/loadbalancer/sidecar/ClientGoneTest.java
+++ b/src/test/java/loadbalancer/sidecar/ClientGoneTest.java
@@ -13,259 +13,270 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request whose client has left while it waited, whatever it waited for, is sent to nobody any more. */
+/** A request whose client has disconnected while the request was waiting is not sent to an upstream any more. */
 @Timeout(60)
 class ClientGoneTest {
-    private interface Leaves {
-        void leave(Peer.Client client) throws IOException;
+    private interface Disconnect {
+        void apply(ScriptedServer.Client client) throws IOException;
     }
 
-    private static final Map<String, Leaves> WAYS =
+    private static final Map<String, Disconnect> DISCONNECTS =
             Map.of("FIN", c -> c.socket.close(), "FIN alone", c -> c.socket.shutdownOutput(), "RST", c -> {
                 c.socket.setSoLinger(true, 0);
                 c.socket.close();
             });
 
-    private static Rig rig() throws IOException {
-        Rig rig = new Rig();
-        rig.settings = rig.settings.replace("\"dial_timeout_us\":2000000", "\"dial_timeout_us\":20000000");
-        return rig;
+    private static SidecarHarness harness() throws IOException {
+        SidecarHarness harness = new SidecarHarness();
+        harness.settings = harness.settings.replace("\"dial_timeout_us\":2000000", "\"dial_timeout_us\":20000000");
+        return harness;
     }
 
     /**
-     * What is sent waits at a door that does not open, the first of it as a request; then its client goes, in each way.
+     * Sends requests to an upstream that accepts no connections, disconnects in each way, and checks that the first
+     * request is withdrawn.
      */
-    private static void isWithdrawn(String id, String sent) throws Exception {
-        for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
-            try (Rig rig = rig();
-                    LateDoor late = new LateDoor()) {
-                rig.upstreamAt(late.address());
-                rig.start();
-                try (Peer.Client client = rig.client()) {
+    private static void assertWithdrawn(String id, String sent) throws Exception {
+        for (Map.Entry<String, Disconnect> way : DISCONNECTS.entrySet()) {
+            try (SidecarHarness harness = harness();
+                    FullBacklogServer fullServer = new FullBacklogServer()) {
+                harness.addUpstreamAt(fullServer.address());
+                harness.start();
+                try (ScriptedServer.Client client = harness.client()) {
                     client.send(sent);
-                    rig.await("request " + id);
-                    way.getValue().leave(client);
-                    assertEquals("outcome " + id + " 0 NOT_SENT true -", rig.await("outcome"), way.getKey());
+                    harness.await("request " + id);
+                    way.getValue().apply(client);
+                    assertEquals("outcome " + id + " 0 NOT_SENT true -", harness.await("outcome"), way.getKey());
                 }
-                assertTrue(late.openedToNobodyElse(), way.getKey() + ": it was sent on");
+                assertTrue(fullServer.receivedNoOtherConnection(), way.getKey() + ": the request was sent");
             }
         }
     }
 
     @Test
-    void whileItsConnectionComesUp() throws Exception {
-        isWithdrawn("a1", Rig.get("a1", 20_000));
+    void withdrawsRequestWhileUpstreamConnects() throws Exception {
+        assertWithdrawn("a1", SidecarHarness.get("a1", 20_000));
     }
 
-    /** Where noise follows, nothing behind it is read as a request; the end of the connection is seen all the same. */
+    /** Invalid bytes after the request are not read as requests; the end of the connection is still noticed. */
     @Test
-    void whileItsConnectionComesUpAndWhatFollowsIsNoise() throws Exception {
-        isWithdrawn("a1", Rig.get("a1", 20_000) + "NOISE\u0001 WITHOUT END\r\n\r\n" + "x".repeat(200_000));
+    void withdrawsRequestFollowedByInvalidBytes() throws Exception {
+        assertWithdrawn(
+                "a1", SidecarHarness.get("a1", 20_000) + "NOISE\u0001 WITHOUT END\r\n\r\n" + "x".repeat(200_000));
     }
 
-    /** Who sends much at once and goes has left for all of it. */
+    /** A client that pipelines requests and disconnects withdraws all of them. */
     @Test
-    void whileOthersOfItsConnectionAreAheadOfIt() throws Exception {
-        for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
-            BlockingQueue<Peer.Line> held = new LinkedBlockingQueue<>();
-            try (Rig rig = rig()) {
-                Peer up = rig.upstream((m, line) -> held.add(line));
-                rig.start();
-                try (Peer.Client client = rig.client()) {
-                    StringBuilder much = new StringBuilder();
+    void withdrawsPipelinedRequests() throws Exception {
+        for (Map.Entry<String, Disconnect> way : DISCONNECTS.entrySet()) {
+            BlockingQueue<ScriptedServer.Connection> held = new LinkedBlockingQueue<>();
+            try (SidecarHarness harness = harness()) {
+                ScriptedServer up = harness.addUpstream((m, connection) -> held.add(connection));
+                harness.start();
+                try (ScriptedServer.Client client = harness.client()) {
+                    StringBuilder pipelined = new StringBuilder();
                     for (int i = 0; i < 25; i++) {
-                        much.append(Rig.get("a" + i, 20_000));
+                        pipelined.append(SidecarHarness.get("a" + i, 20_000));
                     }
-                    client.send(much.toString());
+                    client.send(pipelined.toString());
                     up.next();
-                    way.getValue().leave(client);
-                    assertEquals("expired a0", rig.await("expired"), way.getKey());
-                    held.take().answer("200 OK", "", "late");
-                    assertEquals("outcome a0 0 OK true -", rig.await("outcome"));
+                    way.getValue().apply(client);
+                    assertEquals("expired a0", harness.await("expired"), way.getKey());
+                    held.take().respond("200 OK", "", "late");
+                    assertEquals("outcome a0 0 OK true -", harness.await("outcome"));
                 }
-                try (Peer.Client next = rig.client()) {
-                    next.send(Rig.get("b", 20_000));
-                    assertTrue(
-                            up.next().head().contains("X-Txn: b"), way.getKey() + ": what waited behind was sent on");
+                try (ScriptedServer.Client next = harness.client()) {
+                    next.send(SidecarHarness.get("b", 20_000));
+                    assertTrue(up.next().head().contains("X-Txn: b"), way.getKey() + ": a pipelined request was sent");
                 }
             }
         }
     }
 
-    /** Many more than are ever served at once: the end behind them is seen all the same. */
+    /**
+     * More requests than the sidecar serves at once on a connection; the end of the connection behind them is still
+     * noticed.
+     */
     @Test
-    void whileHundredsOfItsConnectionAreAheadOfIt() throws Exception {
-        StringBuilder much = new StringBuilder();
+    void withdrawsFirstOfHundredsOfPipelinedRequests() throws Exception {
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 300; i++) {
-            much.append(Rig.get("a" + i, 20_000));
+            pipelined.append(SidecarHarness.get("a" + i, 20_000));
         }
-        isWithdrawn("a0", much.toString());
+        assertWithdrawn("a0", pipelined.toString());
     }
 
-    /** All of a large body is with the kernel, and its client is gone before an upstream has been reached. */
+    /** The kernel has all of a large body, and the client disconnects before an upstream has been reached. */
     @Test
-    void whileItsLargeBodyWaitsForAConnection() throws Exception {
+    void withdrawsLargeBodyWhileUpstreamConnects() throws Exception {
         for (int length : new int[] {150_000, 3_000_000}) {
-            for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
-                try (Rig rig = rig();
-                        LateDoor late = new LateDoor()) {
-                    rig.upstreamAt(late.address());
-                    rig.start();
-                    try (Peer.Client client = rig.client()) {
-                        client.send(Rig.post("a1", "k", "key-1", 20_000)
+            for (Map.Entry<String, Disconnect> way : DISCONNECTS.entrySet()) {
+                try (SidecarHarness harness = harness();
+                        FullBacklogServer fullServer = new FullBacklogServer()) {
+                    harness.addUpstreamAt(fullServer.address());
+                    harness.start();
+                    try (ScriptedServer.Client client = harness.client()) {
+                        client.send(SidecarHarness.post("a1", "k", "key-1", 20_000)
                                         .replace("Content-Length: 0", "Content-Length: " + length)
                                 + "x".repeat(length));
-                        rig.await("request a1");
-                        rig.dials();
-                        way.getValue().leave(client);
+                        harness.await("request a1");
+                        harness.awaitConnectTasks();
+                        way.getValue().apply(client);
                     }
-                    late.letsIn();
-                    rig.await("outcome a1 0");
-                    assertTrue(late.ranNothing(length), way.getKey() + ", " + length + " bytes: all of it was sent on");
+                    fullServer.drainBacklog();
+                    harness.await("outcome a1 0");
+                    assertTrue(
+                            fullServer.receivedNoCompleteBody(length),
+                            way.getKey() + ", " + length + " bytes: all of the request was sent");
                 }
             }
         }
     }
 
     /**
-     * It lies unread in the kernel, behind a loop that stands still or a connection that nobody has accepted, and its
-     * client has gone.
+     * The request is unread in the kernel, because the event loop is stalled or the connection is not yet accepted,
+     * when its client disconnects.
      */
     @Test
-    void whileNobodyHasReadIt() throws Exception {
-        for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
-            CountDownLatch standing = new CountDownLatch(1);
-            CountDownLatch goOn = new CountDownLatch(1);
-            try (Rig rig = rig()) {
-                Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "done"));
-                rig.onRequest = (nowMicros, r, out) -> {
+    void withdrawsUnreadRequest() throws Exception {
+        for (Map.Entry<String, Disconnect> way : DISCONNECTS.entrySet()) {
+            CountDownLatch stalled = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
+            try (SidecarHarness harness = harness()) {
+                ScriptedServer up = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "done"));
+                harness.onRequest = (nowMicros, r, out) -> {
                     if (r.id().equals("stall")) {
-                        standing.countDown();
-                        StoodStillTest.awaited(goOn);
+                        stalled.countDown();
+                        EventLoopStallTest.awaitLatch(resume);
                     }
                     out.send(r.id(), "u0", 0);
                 };
-                rig.start();
-                try (Peer.Client other = rig.client();
-                        Peer.Client known = rig.client()) {
-                    assertEquals(200, known.send(Rig.get("first", 20_000)).status());
-                    other.send(Rig.get("stall", 20_000));
-                    assertTrue(standing.await(20, TimeUnit.SECONDS));
-                    way.getValue().leave(known.send(Rig.get("a1", 20_000)));
-                    try (Peer.Client newcomer = rig.client()) {
-                        way.getValue().leave(newcomer.send(Rig.get("a2", 20_000) + Rig.get("a3", 20_000) + "half"));
-                        goOn.countDown();
+                harness.start();
+                try (ScriptedServer.Client other = harness.client();
+                        ScriptedServer.Client known = harness.client()) {
+                    assertEquals(
+                            200, known.send(SidecarHarness.get("first", 20_000)).status());
+                    other.send(SidecarHarness.get("stall", 20_000));
+                    assertTrue(stalled.await(20, TimeUnit.SECONDS));
+                    way.getValue().apply(known.send(SidecarHarness.get("a1", 20_000)));
+                    try (ScriptedServer.Client newcomer = harness.client()) {
+                        way.getValue()
+                                .apply(newcomer.send(
+                                        SidecarHarness.get("a2", 20_000) + SidecarHarness.get("a3", 20_000) + "half"));
+                        resume.countDown();
                         assertEquals(200, other.status());
                     }
                 }
-                try (Peer.Client next = rig.client()) {
-                    assertEquals(200, next.send(Rig.get("b", 20_000)).status());
+                try (ScriptedServer.Client next = harness.client()) {
+                    assertEquals(200, next.send(SidecarHarness.get("b", 20_000)).status());
                 }
-                assertEquals(3, up.messages.size(), way.getKey() + ": it was sent on");
+                assertEquals(3, up.messages.size(), way.getKey() + ": the request was sent");
             }
         }
     }
 
     /**
-     * Its connection comes up, and then its client goes, while the loop stands still: both are there at once, that
-     * first.
+     * While the event loop is stalled the upstream connection is established, and then the client disconnects; the loop
+     * then finds both events, the connection first.
      */
     @Test
-    void whileALoopThatStoodStillFindsItsConnectionFirst() throws Exception {
-        for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
-            CountDownLatch standing = new CountDownLatch(1);
-            CountDownLatch goOn = new CountDownLatch(1);
-            try (Rig rig = rig();
-                    LateDoor late = new LateDoor()) {
-                rig.upstreamAt(late.address());
-                rig.start();
-                try (Peer.Client client = rig.client()) {
-                    client.send(Rig.get("a1", 20_000));
-                    rig.await("request a1");
-                    rig.dials();
-                    rig.sidecar.loop().execute(() -> {
-                        standing.countDown();
-                        StoodStillTest.awaited(goOn);
+    void withdrawsRequestWhenStalledLoopSeesUpstreamConnectionFirst() throws Exception {
+        for (Map.Entry<String, Disconnect> way : DISCONNECTS.entrySet()) {
+            CountDownLatch stalled = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
+            try (SidecarHarness harness = harness();
+                    FullBacklogServer fullServer = new FullBacklogServer()) {
+                harness.addUpstreamAt(fullServer.address());
+                harness.start();
+                try (ScriptedServer.Client client = harness.client()) {
+                    client.send(SidecarHarness.get("a1", 20_000));
+                    harness.await("request a1");
+                    harness.awaitConnectTasks();
+                    harness.sidecar.loop().execute(() -> {
+                        stalled.countDown();
+                        EventLoopStallTest.awaitLatch(resume);
                     });
-                    assertTrue(standing.await(20, TimeUnit.SECONDS));
-                    late.letsIn();
-                    try (Socket up = late.next()) {
-                        way.getValue().leave(client);
-                        goOn.countDown();
-                        assertEquals("outcome a1 0 NOT_SENT true -", rig.await("outcome"), way.getKey());
-                        assertEquals(-1, up.getInputStream().read(), way.getKey() + ": it was sent on");
+                    assertTrue(stalled.await(20, TimeUnit.SECONDS));
+                    fullServer.drainBacklog();
+                    try (Socket up = fullServer.acceptNext()) {
+                        way.getValue().apply(client);
+                        resume.countDown();
+                        assertEquals("outcome a1 0 NOT_SENT true -", harness.await("outcome"), way.getKey());
+                        assertEquals(-1, up.getInputStream().read(), way.getKey() + ": the request was sent");
                     }
                 }
             }
         }
     }
 
-    /** The module holds it, or will try it again: whatever the module says of it later goes nowhere. */
+    /** The balancer holds the request, or is about to retry it: its later actions for the request have no effect. */
     @Test
-    void whileTheModuleHoldsItOrIsToTryItAgain() throws Exception {
+    void withdrawsRequestThatBalancerHoldsOrRetries() throws Exception {
         for (boolean tried : new boolean[] {false, true}) {
-            for (Map.Entry<String, Leaves> way : WAYS.entrySet()) {
-                try (Rig rig = rig()) {
-                    Peer up = rig.upstream((m, line) -> line.answer("503 Full", "X-Turned-Away: 1\r\n", ""));
-                    rig.onRequest = (nowMicros, r, out) -> {
+            for (Map.Entry<String, Disconnect> way : DISCONNECTS.entrySet()) {
+                try (SidecarHarness harness = harness()) {
+                    ScriptedServer up = harness.addUpstream(
+                            (m, connection) -> connection.respond("503 Full", "X-Turned-Away: 1\r\n", ""));
+                    harness.onRequest = (nowMicros, r, out) -> {
                         if (tried) {
                             out.send(r.id(), "u0", 0);
                         }
                     };
-                    rig.onOutcome = (id, outcome, done, out) -> {};
-                    rig.start();
-                    try (Peer.Client client = rig.client()) {
-                        client.send(Rig.get("a1", 20_000));
-                        rig.await(tried ? "outcome a1 0 REJECTED" : "request a1");
-                        way.getValue().leave(client);
-                        assertEquals("expired a1", rig.await("expired"), way.getKey());
+                    harness.onOutcome = (id, outcome, done, out) -> {};
+                    harness.start();
+                    try (ScriptedServer.Client client = harness.client()) {
+                        client.send(SidecarHarness.get("a1", 20_000));
+                        harness.await(tried ? "outcome a1 0 REJECTED" : "request a1");
+                        way.getValue().apply(client);
+                        assertEquals("expired a1", harness.await("expired"), way.getKey());
                     }
-                    rig.onRequest = (nowMicros, r, out) -> {
+                    harness.onRequest = (nowMicros, r, out) -> {
                         out.send("a1", "u0", 0);
                         out.send(r.id(), "u0", 0);
                     };
-                    rig.onOutcome = (id, outcome, done, out) -> out.fail(id);
-                    try (Peer.Client next = rig.client()) {
-                        next.send(Rig.get("b", 20_000));
+                    harness.onOutcome = (id, outcome, done, out) -> out.fail(id);
+                    try (ScriptedServer.Client next = harness.client()) {
+                        next.send(SidecarHarness.get("b", 20_000));
                         assertEquals(502, next.status());
                     }
-                    assertEquals(tried ? 2 : 1, up.messages.size(), way.getKey() + ": it was sent on");
+                    assertEquals(tried ? 2 : 1, up.messages.size(), way.getKey() + ": the request was sent");
                 }
             }
         }
     }
 
-    /** The same at the end of a request of any kind: a copy that waits for its connection goes out to nobody. */
+    /** The same holds for hedged requests: a second attempt that waits for its connection is not sent. */
     @Test
-    void aSecondCopyIsNotSentOnceTheFirstIsAnswered() throws Exception {
-        try (Rig rig = rig();
-                LateDoor late = new LateDoor()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "first"));
-            rig.upstreamAt(late.address());
-            rig.onRequest = (nowMicros, r, out) -> {
+    void doesNotSendHedgedRequestAfterResponse() throws Exception {
+        try (SidecarHarness harness = harness();
+                FullBacklogServer fullServer = new FullBacklogServer()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "first"));
+            harness.addUpstreamAt(fullServer.address());
+            harness.onRequest = (nowMicros, r, out) -> {
                 out.send(r.id(), "u1", 0);
                 out.send(r.id(), "u0", 0);
             };
-            rig.onOutcome = (id, outcome, done, out) -> {};
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+            harness.onOutcome = (id, outcome, done, out) -> {};
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 assertEquals(
-                        "first", client.send(Rig.get("a1", 20_000)).answer().body());
-                assertEquals("outcome a1 0 NOT_SENT true -", rig.await("outcome"));
-                assertEquals("outcome a1 1 OK true -", rig.await("outcome"));
+                        "first",
+                        client.send(SidecarHarness.get("a1", 20_000)).response().body());
+                assertEquals("outcome a1 0 NOT_SENT true -", harness.await("outcome"));
+                assertEquals("outcome a1 1 OK true -", harness.await("outcome"));
             }
-            assertTrue(late.openedToNobodyElse(), "the copy was sent on");
+            assertTrue(fullServer.receivedNoOtherConnection(), "the hedged request was sent");
         }
     }
 
-    /** And where the module has given it up, or refused it. */
+    /** The same holds for a request that the balancer has failed or rejected. */
     @Test
-    void whatTheModuleHasEndedIsNotSentWhenItsConnectionComesUp() throws Exception {
+    void doesNotSendFailedOrRejectedRequestWhenConnected() throws Exception {
         for (int status : new int[] {502, 503}) {
-            try (Rig rig = rig();
-                    LateDoor late = new LateDoor()) {
-                rig.upstreamAt(late.address());
-                rig.onRequest = (nowMicros, r, out) -> {
+            try (SidecarHarness harness = harness();
+                    FullBacklogServer fullServer = new FullBacklogServer()) {
+                harness.addUpstreamAt(fullServer.address());
+                harness.onRequest = (nowMicros, r, out) -> {
                     out.send(r.id(), "u0", 0);
                     if (status == 502) {
                         out.fail(r.id());
@@ -273,13 +284,15 @@
                         out.reject(r.id(), 0);
                     }
                 };
-                rig.onOutcome = (id, outcome, done, out) -> {};
-                rig.start();
-                try (Peer.Client client = rig.client()) {
-                    assertEquals(status, client.send(Rig.get("a1", 20_000)).status());
-                    assertEquals("outcome a1 0 NOT_SENT true -", rig.await("outcome"));
+                harness.onOutcome = (id, outcome, done, out) -> {};
+                harness.start();
+                try (ScriptedServer.Client client = harness.client()) {
+                    assertEquals(
+                            status,
+                            client.send(SidecarHarness.get("a1", 20_000)).status());
+                    assertEquals("outcome a1 0 NOT_SENT true -", harness.await("outcome"));
                 }
-                assertTrue(late.openedToNobodyElse(), "it was sent on");
+                assertTrue(fullServer.receivedNoOtherConnection(), "the request was sent");
             }
         }
     }
--- a/src/test/java/loadbalancer/sidecar/DiscoveryTest.java
+++ b/src/test/java/loadbalancer/sidecar/DiscoveryTest.java
@@ -10,36 +10,37 @@
 
 @Timeout(60)
 class DiscoveryTest {
-    private static final String UP = Rig.entry("u0", "127.0.0.1:9", "Ready", 0);
+    private static final String UP = SidecarHarness.entry("u0", "127.0.0.1:9", "Ready", 0);
 
     @Test
-    void theWatchGoesOnFromEachVersion() throws Exception {
+    void watchContinuesFromEachGeneration() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarHarness harness = new SidecarHarness((m, connection) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", Rig.list(41, false));
-                case 2 -> line.answer("200 OK", "", Rig.list(42, false, UP.replace("Ready", "Terminating")));
-                case 3 -> line.answer("200 OK", "Connection: close\r\n", Rig.list(44, true, UP));
+                case 1 -> connection.respond("200 OK", "", SidecarHarness.list(41, false));
+                case 2 -> connection.respond(
+                        "200 OK", "", SidecarHarness.list(42, false, UP.replace("Ready", "Terminating")));
+                case 3 -> connection.respond("200 OK", "Connection: close\r\n", SidecarHarness.list(44, true, UP));
                 default -> {}
             }
         })) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            assertEquals("list CACHED u0=READY", rig.await("list"));
-            // The first answer tells the module that it is subscribed, even without a change.
-            assertEquals("list DELTA ", rig.await("list"));
-            assertEquals("list DELTA u0=DRAINING", rig.await("list"));
-            assertEquals("list FULL u0=READY", rig.await("list"));
+            harness.addUpstream((m, connection) -> {});
+            harness.start();
+            assertEquals("list CACHED u0=READY", harness.await("list"));
+            // The first response tells the balancer that it is subscribed, even without a change.
+            assertEquals("list DELTA ", harness.await("list"));
+            assertEquals("list DELTA u0=DRAINING", harness.await("list"));
+            assertEquals("list FULL u0=READY", harness.await("list"));
             for (int index : new int[] {41, 41, 42, 44}) {
-                String path = rig.discovery.next().path();
+                String path = harness.discovery.next().path();
                 assertTrue(path.startsWith("/registry/instances?index=" + index + "&wait="), path);
             }
         }
     }
 
-    /** A bad answer is a failed call; taken for an empty list it would end all service. */
+    /** An invalid response is a failed call; taken for an empty list it would end all service. */
     @Test
-    void aBadAnswerIsAFailedCallAndThenTheWholeListIsAskedFor() throws Exception {
+    void invalidResponseFailsCallAndRequestsCompleteList() throws Exception {
         String[] bad = {
             "no json",
             "",
@@ -48,152 +49,160 @@
             "null",
             "{\"generation\":50,\"reset\":true,\"instances\":[]}",
             "{\"generation\":50,\"reset\":true}",
-            Rig.list(40, false, UP),
-            Rig.list(50, false, UP.replace("Ready", "?")),
-            Rig.list(50, true, UP.replace("127.0.0.1:9", "nowhere")),
+            SidecarHarness.list(40, false, UP),
+            SidecarHarness.list(50, false, UP.replace("Ready", "?")),
+            SidecarHarness.list(50, true, UP.replace("127.0.0.1:9", "nowhere")),
             "{\"generation\":50,\"reset\":true,\"instances\":[7]}"
         };
         for (String answer : bad) {
             AtomicInteger calls = new AtomicInteger();
-            try (Rig rig = new Rig((m, line) -> {
+            try (SidecarHarness harness = new SidecarHarness((m, connection) -> {
                 switch (calls.incrementAndGet()) {
-                    case 1 -> line.answer("200 OK", "", answer);
-                    case 2 -> line.answer("200 OK", "", Rig.list(60, true, UP));
+                    case 1 -> connection.respond("200 OK", "", answer);
+                    case 2 -> connection.respond("200 OK", "", SidecarHarness.list(60, true, UP));
                     default -> {}
                 }
             })) {
-                rig.upstream((m, line) -> {});
-                rig.start();
-                rig.await("list CACHED");
-                assertEquals("list FAILED ", rig.await("list"), answer);
-                assertEquals("list FULL u0=READY", rig.await("list"));
-                rig.discovery.next();
-                assertEquals("/registry/instances", rig.discovery.next().path(), answer);
-                assertTrue(rig.discovery.next().path().contains("?index=60&wait="));
+                harness.addUpstream((m, connection) -> {});
+                harness.start();
+                harness.await("list CACHED");
+                assertEquals("list FAILED ", harness.await("list"), answer);
+                assertEquals("list FULL u0=READY", harness.await("list"));
+                harness.discovery.next();
+                assertEquals("/registry/instances", harness.discovery.next().path(), answer);
+                assertTrue(harness.discovery.next().path().contains("?index=60&wait="));
             }
         }
     }
 
     @Test
-    void callsThatFailAreToldAndTheVersionIsKept() throws Exception {
+    void reportsFailedCallsAndKeepsGeneration() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarHarness harness = new SidecarHarness((m, connection) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("503 Down", "", "");
-                case 2 -> line.reset();
-                case 3 -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n");
-                case 4 -> line.answer("200 OK", "", Rig.list(43, false, UP));
+                case 1 -> connection.respond("503 Down", "", "");
+                case 2 -> connection.reset();
+                case 3 -> connection.raw("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n");
+                case 4 -> connection.respond("200 OK", "", SidecarHarness.list(43, false, UP));
                 default -> {}
             }
         })) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            rig.await("list CACHED");
+            harness.addUpstream((m, connection) -> {});
+            harness.start();
+            harness.await("list CACHED");
             for (int i = 0; i < 3; i++) {
-                assertEquals("list FAILED ", rig.await("list"));
-                assertTrue(rig.discovery.next().path().contains("?index=41&wait="));
+                assertEquals("list FAILED ", harness.await("list"));
+                assertTrue(harness.discovery.next().path().contains("?index=41&wait="));
             }
-            assertEquals("list DELTA u0=READY", rig.await("list"));
+            assertEquals("list DELTA u0=READY", harness.await("list"));
         }
     }
 
-    /** Where lists are pushed the module never asks: the sidecar keeps its watch by itself, also after failures. */
+    /**
+     * Where lists are pushed the balancer never polls: the sidecar keeps up its watch by itself, even after failures.
+     */
     @Test
-    void pushedListsAreWatchedWithoutBeingAskedFor() throws Exception {
+    void watchesPushedListsWithoutPolling() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarHarness harness = new SidecarHarness((m, connection) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", Rig.list(41, false));
-                case 2 -> line.answer("503 Down", "", "");
-                case 3 -> line.answer("200 OK", "", Rig.list(42, false, UP));
+                case 1 -> connection.respond("200 OK", "", SidecarHarness.list(41, false));
+                case 2 -> connection.respond("503 Down", "", "");
+                case 3 -> connection.respond("200 OK", "", SidecarHarness.list(42, false, UP));
                 default -> {}
             }
         })) {
-            rig.settings = rig.settings.replace("on_request", "pushed");
-            rig.asks = false;
-            rig.upstream((m, line) -> {});
-            rig.start();
-            rig.await("list CACHED");
-            assertEquals("list DELTA u0=READY", rig.await("list"), "told of a call it has not made, or of no change");
+            harness.settings = harness.settings.replace("on_request", "pushed");
+            harness.pollsDiscovery = false;
+            harness.addUpstream((m, connection) -> {});
+            harness.start();
+            harness.await("list CACHED");
+            assertEquals(
+                    "list DELTA u0=READY",
+                    harness.await("list"),
+                    "the balancer got a response to a call that it has not made, or a list without a change");
         }
     }
 
     /**
-     * After a new configuration the old service may fall silent or reset what is open: the whole list comes from the
-     * new one at once, the old call is no failure that the module would wait after, and its late answer is nobody's.
+     * After a reload the former discovery service may stop responding or reset open connections: the complete list
+     * comes from the new one at once, the former call is no failure after which the balancer would wait, and its late
+     * response is ignored.
      */
     @Test
-    void anotherServiceIsAskedForTheWholeListAtOnce() throws Exception {
-        try (Peer next = new Peer((m, line) -> {
+    void requestsCompleteListFromNewServiceAtOnce() throws Exception {
+        try (ScriptedServer next = new ScriptedServer((m, connection) -> {
                     if (m.path().equals("/registry/instances")) {
-                        line.answer("200 OK", "", Rig.list(3, true, UP));
+                        connection.respond("200 OK", "", SidecarHarness.list(3, true, UP));
                     }
                 });
-                Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            rig.await("list CACHED");
-            assertTrue(rig.discovery.next().path().contains("?index=41&wait="));
-            rig.reload(next.address());
-            assertEquals("list FULL u0=READY", rig.told.poll(20, TimeUnit.SECONDS));
+                SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> {});
+            harness.start();
+            harness.await("list CACHED");
+            assertTrue(harness.discovery.next().path().contains("?index=41&wait="));
+            harness.reload(next.address());
+            assertEquals("list FULL u0=READY", harness.balancerEvents.poll(20, TimeUnit.SECONDS));
             assertEquals("/registry/instances", next.next().path());
             assertTrue(next.next().path().contains("?index=3&wait="));
-            assertEquals(-1, rig.discovery.accepted.take().getInputStream().read(), "the old connection was left open");
+            assertEquals(
+                    -1, harness.discovery.accepted.take().getInputStream().read(), "the old connection was left open");
         }
     }
 
     /**
-     * A watch falls silent, then an upstream drains: what was missed is asked for on a new connection before it counts
-     * as told, and the module need not ask for it, which it would do after a pause.
+     * A watch stops responding, then an upstream drains: the missed change is fetched on a new connection, without the
+     * balancer having to poll for it, which it would do only after a pause.
      */
     @Test
-    void aWatchThatFallsSilentBeforeADrainIsMadeAnewAtOnce() throws Exception {
+    void renewsSilentWatchBeforeDrainAtOnce() throws Exception {
         for (String discovery : new String[] {"on_request", "pushed"}) {
             AtomicInteger calls = new AtomicInteger();
-            try (Rig rig = new Rig((m, line) -> {
+            try (SidecarHarness harness = new SidecarHarness((m, connection) -> {
                 int number = calls.incrementAndGet();
                 if (number == 1) {
-                    line.answer("200 OK", "", Rig.list(41, false));
+                    connection.respond("200 OK", "", SidecarHarness.list(41, false));
                 } else if (number > 2 && m.path().endsWith("&wait=0")) {
-                    line.answer("200 OK", "", Rig.list(42, false, UP.replace("Ready", "Terminating")));
+                    connection.respond(
+                            "200 OK", "", SidecarHarness.list(42, false, UP.replace("Ready", "Terminating")));
                 }
             })) {
-                rig.settings = rig.settings
+                harness.settings = harness.settings
                         .replace("\"ask_every_us\":10000000", "\"ask_every_us\":400000")
                         .replace("on_request", discovery);
-                rig.asks = discovery.equals("on_request");
-                rig.upstream((m, line) -> {});
-                rig.start();
-                assertEquals("list CACHED u0=READY", rig.await("list"));
-                if (rig.asks) {
-                    assertEquals("list DELTA ", rig.await("list"));
+                harness.pollsDiscovery = discovery.equals("on_request");
+                harness.addUpstream((m, connection) -> {});
+                harness.start();
+                assertEquals("list CACHED u0=READY", harness.await("list"));
+                if (harness.pollsDiscovery) {
+                    assertEquals("list DELTA ", harness.await("list"));
                 }
-                assertEquals("list DELTA u0=DRAINING", rig.await("list"), discovery);
-                assertEquals(
-                        2, rig.discovery.accepted.size(), "the call after the silence went on the silent connection");
+                assertEquals("list DELTA u0=DRAINING", harness.await("list"), discovery);
+                assertEquals(2, harness.discovery.accepted.size(), "the second call used the silent connection");
             }
         }
     }
 
     /**
-     * The first call at the new place is lost: its whole list still comes before it counts as told, 4 s after the new
+     * The first call to the new discovery service is lost: its complete list still arrives within 4 s of the new
      * configuration.
      */
     @Test
-    void aDrainAtANewPlaceIsSeenThoughTheFirstCallThereIsLost() throws Exception {
+    void seesDrainAtNewServiceIfFirstCallIsLost() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Peer next = new Peer((m, line) -> {
+        try (ScriptedServer next = new ScriptedServer((m, connection) -> {
                     if (calls.incrementAndGet() == 2) {
-                        line.answer("200 OK", "", Rig.list(3, true, UP.replace("Ready", "Terminating")));
+                        connection.respond(
+                                "200 OK", "", SidecarHarness.list(3, true, UP.replace("Ready", "Terminating")));
                     }
                 });
-                Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            rig.await("list CACHED");
-            rig.discovery.next();
-            rig.reload(next.address());
-            assertEquals("list FULL u0=DRAINING", rig.told.poll(20, TimeUnit.SECONDS));
+                SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> {});
+            harness.start();
+            harness.await("list CACHED");
+            harness.discovery.next();
+            harness.reload(next.address());
+            assertEquals("list FULL u0=DRAINING", harness.balancerEvents.poll(20, TimeUnit.SECONDS));
             assertEquals("/registry/instances", next.next().path());
             assertEquals("/registry/instances", next.next().path());
         }
--- a/src/test/java/loadbalancer/sidecar/PeersTest.java
+++ b/src/test/java/loadbalancer/sidecar/GossipSocketTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class PeersTest {
+class GossipSocketTest {
     private static DatagramSocket socket() throws Exception {
         DatagramSocket s = new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
         s.setSoTimeout(20_000);
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void onlyPeersAreHeardAndOnlyWhatFits() throws Exception {
+    void receivesOnlyFromPeersAndUpTo256Bytes() throws Exception {
         try (DatagramSocket peer = socket();
                 DatagramSocket stranger = socket();
                 DatagramSocket everyone = socket();
-                Rig rig = new Rig()) {
-            rig.peerFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
+                SidecarHarness harness = new SidecarHarness()) {
+            harness.extraConfigFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
-            rig.onRequest = (nowMicros, r, out) -> {
+            harness.onRequest = (nowMicros, r, out) -> {
                 out.gossip(1, new byte[5]);
                 out.gossip(7, new byte[5]);
                 out.gossip(1, new byte[257]);
@@ -33,9 +33,9 @@
                 out.gossip(-1, new byte[7]);
                 out.fail(r.id());
             };
-            rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
+                client.send(SidecarHarness.get("a1", 20_000));
                 assertEquals(502, client.status());
             }
             DatagramPacket got = new DatagramPacket(new byte[1000], 1000);
@@ -53,8 +53,8 @@
             peer.send(new DatagramPacket(new byte[257], 257, sidecar));
             peer.send(new DatagramPacket(new byte[0], 0, sidecar));
             peer.send(new DatagramPacket(new byte[256], 256, sidecar));
-            assertEquals("peer 1 0", rig.await("peer"));
-            assertEquals("peer 1 256", rig.await("peer"));
+            assertEquals("peer 1 0", harness.await("peer"));
+            assertEquals("peer 1 256", harness.await("peer"));
         }
     }
 }
--- a/src/test/java/loadbalancer/sidecar/IdleTest.java
+++ b/src/test/java/loadbalancer/sidecar/IdleTest.java
@@ -11,31 +11,32 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long idle connections are kept. An application may leave each connection lying after one answer and have a bound
- * on how many it holds: kept for seconds they keep it from sending anything. Seen in service: 128 held by it, 120
- * requests a second instead of 250.
+ * How long idle connections are kept. An application may abandon each connection after one response and limit the
+ * number of connections that it holds: if they are kept for seconds, it can't send. Seen in service: it held 128
+ * connections and sent 120 requests a second instead of 250.
  */
 @Timeout(60)
 class IdleTest {
     @Test
-    void connectionsThatAreNeverUsedAgainAreSoonClosed() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            List<Peer.Client> left = new ArrayList<>();
+    void closesConnectionsSoonIfNeverReused() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.start();
+            List<ScriptedServer.Client> abandoned = new ArrayList<>();
             try {
                 for (int i = 0; i < 150; i++) {
-                    Peer.Client c = rig.client();
-                    left.add(c);
-                    assertEquals(200, c.send(Rig.get("a" + i, 20_000)).status());
+                    ScriptedServer.Client c = harness.client();
+                    abandoned.add(c);
+                    assertEquals(
+                            200, c.send(SidecarHarness.get("a" + i, 20_000)).status());
                 }
-                long begun = System.nanoTime();
-                assertTrue(left.get(149).ended());
+                long startNanos = System.nanoTime();
+                assertTrue(abandoned.get(149).awaitClose());
                 assertTrue(
-                        System.nanoTime() - begun < 2_000_000_000L,
-                        "closed only after " + (System.nanoTime() - begun) / 1_000_000 + " ms");
+                        System.nanoTime() - startNanos < 2_000_000_000L,
+                        "closed only after " + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
             } finally {
-                for (Peer.Client c : left) {
+                for (ScriptedServer.Client c : abandoned) {
                     c.close();
                 }
             }
@@ -43,18 +44,19 @@
     }
 
     @Test
-    void connectionsThatAreUsedAgainAreKept() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            try (Peer.Client c = rig.client()) {
+    void keepsConnectionsThatAreReused() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.start();
+            try (ScriptedServer.Client c = harness.client()) {
                 for (int i = 0; i < 150; i++) {
-                    assertEquals(200, c.send(Rig.get("a" + i, 20_000)).status());
+                    assertEquals(
+                            200, c.send(SidecarHarness.get("a" + i, 20_000)).status());
                 }
                 c.socket.setSoTimeout(1_000);
-                assertThrows(SocketTimeoutException.class, c::ended);
+                assertThrows(SocketTimeoutException.class, c::awaitClose);
                 c.socket.setSoTimeout(20_000);
-                assertEquals(200, c.send(Rig.get("again", 20_000)).status());
+                assertEquals(200, c.send(SidecarHarness.get("again", 20_000)).status());
             }
         }
     }
--- a/src/test/java/loadbalancer/sidecar/LargeTest.java
+++ b/src/test/java/loadbalancer/sidecar/LargeTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers and bodies that are too large to be held. */
+/** Responses and request bodies that are too large to be buffered whole. */
 @Timeout(90)
 class LargeTest {
     private static final int MB = 1024 * 1024;
@@ -29,22 +29,22 @@
         return b;
     }
 
-    /** Writes so many blocks, of stated length or as chunks. */
-    private static void answer(Peer.Line line, boolean chunked, int blocks) throws IOException {
-        line.raw("HTTP/1.1 200 OK\r\n"
+    /** Writes a response of this many blocks, with a stated length or chunked. */
+    private static void answer(ScriptedServer.Connection connection, boolean chunked, int blocks) throws IOException {
+        connection.raw("HTTP/1.1 200 OK\r\n"
                 + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + blocks * BLOCK.length) + "\r\n\r\n");
-        OutputStream out = line.socket().getOutputStream();
+        OutputStream out = connection.socket().getOutputStream();
         for (int i = 0; i < blocks; i++) {
             if (chunked) {
-                line.raw(Integer.toHexString(BLOCK.length) + ";name=value\r\n");
+                connection.raw(Integer.toHexString(BLOCK.length) + ";name=value\r\n");
             }
             out.write(BLOCK);
             if (chunked) {
-                line.raw("\r\n");
+                connection.raw("\r\n");
             }
         }
         if (chunked) {
-            line.raw("0\r\nTrailer: x\r\n\r\n");
+            connection.raw("0\r\nTrailer: x\r\n\r\n");
         }
         out.flush();
     }
@@ -57,7 +57,7 @@
         return head.toString();
     }
 
-    /** Reads a body of so many blocks, in chunks where the head says so, and finds every byte in its place. */
+    /** Reads a body of this many blocks, chunked where the head says so, and checks every byte. */
     private static void read(InputStream in, String head, int blocks) throws IOException {
         long total = (long) blocks * BLOCK.length;
         long at = 0;
@@ -66,10 +66,10 @@
                     ? Integer.parseInt(line(in).trim(), 16)
                     : (int) Math.min(BLOCK.length, total - at);
             byte[] piece = in.readNBytes(size);
-            assertEquals(size, piece.length, "cut at " + at);
+            assertEquals(size, piece.length, "body ends at byte " + at);
             for (int i = 0; i < size; i++, at++) {
                 if (piece[i] != BLOCK[(int) (at % BLOCK.length)]) {
-                    throw new AssertionError("another byte at " + at);
+                    throw new AssertionError("wrong byte at " + at);
                 }
             }
             if (head.contains("chunked")) {
@@ -91,18 +91,18 @@
     }
 
     @Test
-    void anAnswerOf32MbPassesUnchangedInEitherFramingAndTheConnectionGoesOn() throws Exception {
+    void forwardsResponseOf32MbUnchangedAndReusesConnection() throws Exception {
         for (boolean chunked : new boolean[] {false, true}) {
-            try (Rig rig = new Rig()) {
-                rig.upstream(
-                        (m, line) -> answer(line, chunked, m.header("X-Txn").equals("big") ? 512 : 1));
-                rig.start();
-                try (Peer.Client client = rig.client()) {
+            try (SidecarHarness harness = new SidecarHarness()) {
+                harness.addUpstream((m, connection) ->
+                        answer(connection, chunked, m.header("X-Txn").equals("big") ? 512 : 1));
+                harness.start();
+                try (ScriptedServer.Client client = harness.client()) {
                     InputStream in = client.socket.getInputStream();
-                    client.send(Rig.get("big", 20_000));
+                    client.send(SidecarHarness.get("big", 20_000));
                     read(in, head(in), 512);
-                    assertEquals("outcome big 0 OK true -", rig.await("outcome"));
-                    client.send(Rig.get("small", 20_000));
+                    assertEquals("outcome big 0 OK true -", harness.await("outcome"));
+                    client.send(SidecarHarness.get("small", 20_000));
                     String small = head(in);
                     assertTrue(small.contains("content-length: " + BLOCK.length), small);
                     read(in, small, 1);
@@ -111,85 +111,89 @@
         }
     }
 
-    /** What its client does not read is not read from the upstream either: the memory that it takes has a bound. */
+    /** Data that its client does not read is not read from the upstream either, which bounds the memory used. */
     @Test
-    void anUpstreamIsReadNoFasterThanItsClientReads() throws Exception {
-        try (Rig rig = new Rig()) {
+    void readsUpstreamNoFasterThanClientReads() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
             AtomicLong written = new AtomicLong();
             CountDownLatch blocked = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
-                line.socket().setSendBufferSize(64 * 1024);
-                line.raw("HTTP/1.1 200 OK\r\nContent-Length: " + 32 * MB + "\r\n\r\n");
+            harness.addUpstream((m, connection) -> {
+                connection.socket().setSendBufferSize(64 * 1024);
+                connection.raw("HTTP/1.1 200 OK\r\nContent-Length: " + 32 * MB + "\r\n\r\n");
                 for (int i = 0; i < 512; i++) {
-                    line.socket().getOutputStream().write(BLOCK);
+                    connection.socket().getOutputStream().write(BLOCK);
                     if (written.addAndGet(BLOCK.length) == 2 * MB) {
                         blocked.countDown();
                     }
                 }
             });
-            rig.start();
+            harness.start();
             long before =
                     io.netty.buffer.PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
-            try (Peer.Client client = rig.client()) {
+            try (ScriptedServer.Client client = harness.client()) {
                 InputStream in = client.socket.getInputStream();
-                client.send(Rig.get("slow", 20_000));
+                client.send(SidecarHarness.get("slow", 20_000));
                 String head = head(in);
                 blocked.await(2, TimeUnit.SECONDS);
                 long held =
                         io.netty.buffer.PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory() - before;
-                assertTrue(held < 8 * MB, held + " bytes are held");
+                assertTrue(held < 8 * MB, held + " bytes are buffered");
                 read(in, head, 512);
                 assertEquals(32 * MB, written.get());
             }
         }
     }
 
-    /** Of unknown length and in slow pieces: its first bytes are not held back until it is known to be large. */
+    /** A response of unknown length in slow pieces: its first bytes are not held back until it is known to be large. */
     @Test
-    void aSlowAnswerOfUnknownLengthBeginsBeforeItIsKnownToBeLarge() throws Exception {
+    void startsSlowResponseOfUnknownLengthBeforeItIsKnownToBeLarge() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n800\r\n" + "x".repeat(0x800) + "\r\n");
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> {
+                connection.raw(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n800\r\n" + "x".repeat(0x800) + "\r\n");
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(100));
-                line.raw("800\r\n" + "x".repeat(0x800) + "\r\n");
+                connection.raw("800\r\n" + "x".repeat(0x800) + "\r\n");
                 try {
                     assertTrue(begun.await(20, TimeUnit.SECONDS));
                 } catch (InterruptedException exception) {
                     Thread.currentThread().interrupt();
                 }
-                line.raw("4\r\nlast\r\n0\r\n\r\n");
+                connection.raw("4\r\nlast\r\n0\r\n\r\n");
             });
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 InputStream in = client.socket.getInputStream();
-                client.send(Rig.get("slow", 20_000));
+                client.send(SidecarHarness.get("slow", 20_000));
                 assertTrue(head(in).contains("chunked"));
                 begun.countDown();
-                assertEquals("outcome slow 0 OK true -", rig.await("outcome"));
+                assertEquals("outcome slow 0 OK true -", harness.await("outcome"));
             }
         }
     }
 
-    /** Nobody may take a part for the whole, and nothing follows on what has begun. */
+    /**
+     * The client must not take a part for the whole response, and the request is not retried once the response has
+     * begun.
+     */
     @Test
-    void anAnswerThatBreaksOffBreaksOffForItsClient() throws Exception {
-        try (Rig rig = new Rig()) {
-            Peer node = rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nContent-Length: " + 4 * MB + "\r\n\r\n");
-                line.socket().getOutputStream().write(BLOCK);
-                line.socket().getOutputStream().write(BLOCK);
-                line.socket().close();
+    void truncatesResponseForClientWhenUpstreamBreaksOff() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            ScriptedServer node = harness.addUpstream((m, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nContent-Length: " + 4 * MB + "\r\n\r\n");
+                connection.socket().getOutputStream().write(BLOCK);
+                connection.socket().getOutputStream().write(BLOCK);
+                connection.socket().close();
             });
-            rig.onOutcome = (id, outcome, done, out) -> {
+            harness.onOutcome = (id, outcome, done, out) -> {
                 assertTrue(done);
                 out.send(id, "u0", 0);
                 out.fail(id);
             };
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 InputStream in = client.socket.getInputStream();
-                client.send(Rig.get("cut", 20_000));
+                client.send(SidecarHarness.get("cut", 20_000));
                 head(in);
                 long got = 0;
                 try {
@@ -201,73 +205,79 @@
                         got += n;
                     }
                 } catch (java.net.SocketException exception) {
-                    // reset: an end as well
+                    // A reset ends the response as well.
                 }
                 assertTrue(got <= 2 * BLOCK.length, got + " bytes");
-                assertEquals("outcome cut 0 RESET true -", rig.await("outcome"));
+                assertEquals("outcome cut 0 RESET true -", harness.await("outcome"));
                 assertEquals(1, node.messages.size());
                 assertEquals(
                         1,
-                        rig.sidecar.engine().metrics().count("c", loadbalancer.metrics.Metrics.RequestOutcome.FAILED));
-                assertEquals(0, rig.sidecar.engine().metrics().inFlight());
+                        harness.sidecar
+                                .engine()
+                                .metrics()
+                                .count("c", loadbalancer.metrics.Metrics.RequestOutcome.FAILED));
+                assertEquals(0, harness.sidecar.engine().metrics().inFlight());
             }
         }
     }
 
     @Test
-    void whoLeavesHalfWayEndsWhatItsUpstreamSends() throws Exception {
-        try (Rig rig = new Rig()) {
+    void closesUpstreamConnectionWhenClientDisconnectsDuringResponse() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
             CountDownLatch ended = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nContent-Length: " + 32 * MB + "\r\n\r\n");
+            harness.addUpstream((m, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nContent-Length: " + 32 * MB + "\r\n\r\n");
                 try {
                     for (int i = 0; i < 512; i++) {
-                        line.socket().getOutputStream().write(BLOCK);
+                        connection.socket().getOutputStream().write(BLOCK);
                     }
                 } catch (IOException exception) {
                     ended.countDown();
                 }
             });
-            rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("leaves", 20_000));
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
+                client.send(SidecarHarness.get("leaves", 20_000));
                 head(client.socket.getInputStream());
             }
-            assertTrue(ended.await(20, TimeUnit.SECONDS), "the upstream sends on for nobody");
-            assertEquals("outcome leaves 0 CANCELLED true -", rig.await("outcome"));
+            assertTrue(ended.await(20, TimeUnit.SECONDS), "the upstream still sends after the client has disconnected");
+            assertEquals("outcome leaves 0 CANCELLED true -", harness.await("outcome"));
         }
     }
 
-    /** RFC 9112, 6.3: an answer that says so ends with its connection; one that ends in a reset is none. */
+    /**
+     * RFC 9112, 6.3: a response without a length ends with its connection if it says so; one that ends in a reset is
+     * incomplete.
+     */
     @Test
-    void anAnswerMayEndWithItsConnectionWhereItSaysSo() throws Exception {
+    void acceptsResponseThatEndsWithItsConnection() throws Exception {
         for (int blocks : new int[] {0, 1, 3}) {
-            try (Rig rig = new Rig()) {
-                rig.upstream((m, line) -> {
-                    line.raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+            try (SidecarHarness harness = new SidecarHarness()) {
+                harness.addUpstream((m, connection) -> {
+                    connection.raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
                     for (int i = 0; i < blocks; i++) {
-                        line.socket().getOutputStream().write(BLOCK);
+                        connection.socket().getOutputStream().write(BLOCK);
                     }
-                    line.socket().close();
+                    connection.socket().close();
                 });
-                rig.start();
-                try (Peer.Client client = rig.client()) {
+                harness.start();
+                try (ScriptedServer.Client client = harness.client()) {
                     InputStream in = client.socket.getInputStream();
-                    client.send(Rig.get("a" + blocks, 20_000));
+                    client.send(SidecarHarness.get("a" + blocks, 20_000));
                     read(in, head(in), blocks);
-                    assertEquals("outcome a" + blocks + " 0 OK true -", rig.await("outcome"));
+                    assertEquals("outcome a" + blocks + " 0 OK true -", harness.await("outcome"));
                 }
             }
         }
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf");
-                line.reset();
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf");
+                connection.reset();
             });
-            rig.start();
-            try (Peer.Client client = rig.client()) {
-                assertEquals(502, client.send(Rig.get("a", 20_000)).status());
-                assertTrue(rig.await("outcome").startsWith("outcome a 0 RESET"));
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
+                assertEquals(502, client.send(SidecarHarness.get("a", 20_000)).status());
+                assertTrue(harness.await("outcome").startsWith("outcome a 0 RESET"));
             }
         }
     }
@@ -293,7 +303,7 @@
         out.flush();
     }
 
-    private static void assertBody(Peer.Message m, int blocks) {
+    private static void assertBody(ScriptedServer.Message m, int blocks) {
         byte[] body = m.body().getBytes(StandardCharsets.ISO_8859_1);
         assertEquals(blocks * BLOCK.length, body.length);
         for (int i = 0; i < blocks; i++) {
@@ -304,217 +314,238 @@
     }
 
     @Test
-    void aBodyOf32MbPassesUnchangedInEitherFramingAndTheConnectionGoesOn() throws Exception {
+    void forwardsBodyOf32MbUnchangedAndReusesConnection() throws Exception {
         for (boolean chunked : new boolean[] {false, true}) {
-            try (Rig rig = new Rig()) {
-                Peer node = rig.upstream((m, line) -> line.answer("200 OK", "", "done"));
-                rig.start();
-                try (Peer.Client client = rig.client()) {
+            try (SidecarHarness harness = new SidecarHarness()) {
+                ScriptedServer node = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "done"));
+                harness.start();
+                try (ScriptedServer.Client client = harness.client()) {
                     client.send(post(
                             "big", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + 512 * BLOCK.length));
                     write(client.socket.getOutputStream(), chunked, 512);
-                    assertEquals("done", client.answer().body());
+                    assertEquals("done", client.response().body());
                     assertBody(node.next(), 512);
-                    assertEquals("outcome big 0 OK true -", rig.await("outcome"));
-                    assertEquals(1, rig.sidecar.engine().metrics().sentAttempts());
-                    assertEquals(200, client.send(Rig.get("small", 20_000)).status());
+                    assertEquals("outcome big 0 OK true -", harness.await("outcome"));
+                    assertEquals(1, harness.sidecar.engine().metrics().sentAttempts());
+                    assertEquals(
+                            200,
+                            client.send(SidecarHarness.get("small", 20_000)).status());
                 }
             }
         }
     }
 
-    /** Its beginning is held: an upstream that is not there has taken nothing of it, so another can have all. */
+    /**
+     * The beginning of a body is buffered: an upstream that refuses the connection has got nothing of it, so another
+     * one can get all.
+     */
     @Test
-    void aBodyOfWhichNothingIsGoneGoesToAnotherUpstream() throws Exception {
-        try (Rig rig = new Rig()) {
-            Peer dead = rig.upstream((m, line) -> {});
-            Peer node = rig.upstream((m, line) -> line.answer("200 OK", "", "done"));
+    void retriesLargeBodyAtAnotherUpstreamIfNothingWasSent() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            ScriptedServer dead = harness.addUpstream((m, connection) -> {});
+            ScriptedServer node = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "done"));
             dead.close();
-            rig.onOutcome = (id, outcome, done, out) -> {
+            harness.onOutcome = (id, outcome, done, out) -> {
                 if (!done) {
                     out.send(id, "u1", 0);
                 }
             };
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 client.send(post("big", "Content-Length: " + 64 * BLOCK.length));
                 write(client.socket.getOutputStream(), false, 64);
-                assertEquals("done", client.answer().body());
+                assertEquals("done", client.response().body());
                 assertBody(node.next(), 64);
             }
         }
     }
 
-    /** Its first byte was sent before its upstream drained: what has begun may end, and nothing new follows it. */
+    /**
+     * A body whose first byte was sent before its upstream drained may be sent to its end, but no new request follows
+     * it.
+     */
     @Test
-    void aBodyOnItsWayWhileItsUpstreamDrainsArrivesWhole() throws Exception {
-        java.util.concurrent.BlockingQueue<Peer.Line> watch = new java.util.concurrent.LinkedBlockingQueue<>();
-        try (Rig rig = new Rig((m, line) -> watch.add(line));
+    void completesBodyThatWasBeingSentWhenUpstreamDrained() throws Exception {
+        java.util.concurrent.BlockingQueue<ScriptedServer.Connection> watch =
+                new java.util.concurrent.LinkedBlockingQueue<>();
+        try (SidecarHarness harness = new SidecarHarness((m, connection) -> watch.add(connection));
                 java.net.ServerSocket node =
                         new java.net.ServerSocket(0, 50, java.net.InetAddress.getByName("127.0.0.1"))) {
             String address = "127.0.0.1:" + node.getLocalPort();
-            rig.upstreamAt(address);
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+            harness.addUpstreamAt(address);
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 client.send(post("big", "Content-Length: " + 6 * BLOCK.length));
                 write(client.socket.getOutputStream(), false, 3);
                 java.net.Socket upstream = node.accept();
                 InputStream in = upstream.getInputStream();
                 InputStream first = new java.io.ByteArrayInputStream(new byte[] {(byte) in.read()});
-                watch.take().answer("200 OK", "", Rig.list(42, false, Rig.entry("u0", address, "Terminating", 0)));
-                assertEquals("list DELTA u0=DRAINING", rig.await("list DELTA"));
+                watch.take()
+                        .respond(
+                                "200 OK",
+                                "",
+                                SidecarHarness.list(42, false, SidecarHarness.entry("u0", address, "Terminating", 0)));
+                assertEquals("list DELTA u0=DRAINING", harness.await("list DELTA"));
                 write(client.socket.getOutputStream(), false, 3);
-                assertBody(Peer.read(new java.io.SequenceInputStream(first, in)), 6);
-                new Peer.Line(upstream).answer("200 OK", "", "done");
-                assertEquals("done", client.answer().body());
-                rig.onOutcome = (id, outcome, done, out) -> out.fail(id);
-                assertEquals(502, client.send(Rig.get("small", 20_000)).status());
-                assertEquals(-1, in.read(), "something new was sent after the drain");
+                assertBody(ScriptedServer.read(new java.io.SequenceInputStream(first, in)), 6);
+                new ScriptedServer.Connection(upstream).respond("200 OK", "", "done");
+                assertEquals("done", client.response().body());
+                harness.onOutcome = (id, outcome, done, out) -> out.fail(id);
+                assertEquals(
+                        502, client.send(SidecarHarness.get("small", 20_000)).status());
+                assertEquals(-1, in.read(), "a new request was sent after the drain");
             }
         }
     }
 
-    /** An upstream that breaks off half way has run nothing; what is gone can't be sent again, and that can be said. */
+    /**
+     * An upstream that resets half way through the body has run nothing; the sent part can't be sent again, and the
+     * client is told so with 503.
+     */
     @Test
-    void aBodyThatIsGoneIsSentToNobodyElse() throws Exception {
-        try (Rig rig = new Rig();
-                java.net.ServerSocket breaks =
+    void doesNotRetryBodyThatWasPartlySent() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness();
+                java.net.ServerSocket resettingServer =
                         new java.net.ServerSocket(0, 50, java.net.InetAddress.getByName("127.0.0.1"))) {
-            Thread reads = new Thread(() -> {
-                try (java.net.Socket s = breaks.accept()) {
+            Thread reader = new Thread(() -> {
+                try (java.net.Socket s = resettingServer.accept()) {
                     s.getInputStream().readNBytes(4 * MB);
                     s.setSoLinger(true, 0);
                 } catch (IOException exception) {
-                    // ended
+                    // The connection was closed.
                 }
             });
-            reads.start();
-            Peer other = rig.upstream((m, line) -> line.answer("200 OK", "", "done"));
-            rig.upstreamAt("127.0.0.1:" + breaks.getLocalPort());
-            rig.onRequest = (nowMicros, r, out) -> out.send(r.id(), "u1", 0);
-            rig.onOutcome = (id, outcome, done, out) -> {
+            reader.start();
+            ScriptedServer other = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "done"));
+            harness.addUpstreamAt("127.0.0.1:" + resettingServer.getLocalPort());
+            harness.onRequest = (nowMicros, r, out) -> out.send(r.id(), "u1", 0);
+            harness.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == loadbalancer.balancing.Balancer.Outcome.CONNECT_FAILED) {
                     out.send(id, "u0", 0);
                 } else if (!done) {
                     out.reject(id, 0);
                 }
             };
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 client.send(post("big", "Content-Length: " + 512 * BLOCK.length));
                 write(client.socket.getOutputStream(), false, 512);
-                Peer.Message answer = client.answer();
+                ScriptedServer.Message answer = client.response();
                 assertTrue(answer.head().startsWith("HTTP/1.1 503 "), answer.head());
-                assertTrue(client.ended());
+                assertTrue(client.awaitClose());
             }
-            assertEquals("outcome big 0 CONNECT_FAILED false -", rig.await("outcome"));
-            assertEquals("outcome big 1 NOT_SENT false -", rig.await("outcome"));
+            assertEquals("outcome big 0 CONNECT_FAILED false -", harness.await("outcome"));
+            assertEquals("outcome big 1 NOT_SENT false -", harness.await("outcome"));
             assertEquals(0, other.messages.size());
-            assertEquals(0, rig.sidecar.engine().metrics().sentAttempts());
-            reads.join();
+            assertEquals(0, harness.sidecar.engine().metrics().sentAttempts());
+            reader.join();
         }
     }
 
-    /** Who leaves half way through leaves nothing that could run. */
+    /** A client that disconnects half way through its body leaves no request that an upstream could run. */
     @Test
-    void aClientThatLeavesHalfWayLeavesNothingBehind() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "done"));
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+    void cancelsRequestWhenClientDisconnectsDuringBody() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "done"));
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 client.send(post("big", "Content-Length: " + 512 * BLOCK.length));
                 write(client.socket.getOutputStream(), false, 100);
-                rig.await("request big");
+                harness.await("request big");
             }
-            rig.await("expired big");
-            rig.await("outcome big 0 CANCELLED");
-            assertEquals(0, rig.sidecar.engine().metrics().sentAttempts());
-            assertEquals(0, rig.sidecar.engine().metrics().inFlight());
+            harness.await("expired big");
+            harness.await("outcome big 0 CANCELLED");
+            assertEquals(0, harness.sidecar.engine().metrics().sentAttempts());
+            assertEquals(0, harness.sidecar.engine().metrics().inFlight());
         }
     }
 
     /**
-     * Halves of bodies on many connections take no more memory than is set aside: past that they go on as they come.
+     * Incomplete bodies on many connections are buffered up to a bound on memory; beyond it a request is forwarded
+     * before its body is complete.
      */
     @Test
-    void whatManyConnectionsHoldHasABound() throws Exception {
-        try (Rig rig = new Rig()) {
-            // So many that the backlog of none is overrun.
+    void boundsMemoryOfBufferedBodies() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            // Eight upstreams, so that no accept backlog overflows.
             for (int i = 0; i < 8; i++) {
-                rig.upstream((m, line) -> line.answer("200 OK", "", "done"));
+                harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "done"));
             }
-            rig.onRequest = (nowMicros, r, out) -> out.send(r.id(), "u" + Math.floorMod(r.id().hashCode(), 8), 0);
-            rig.sockets = 2048;
-            rig.start();
-            java.util.List<Peer.Client> clients = new java.util.ArrayList<>();
+            harness.onRequest = (nowMicros, r, out) -> out.send(r.id(), "u" + Math.floorMod(r.id().hashCode(), 8), 0);
+            harness.maxDescriptors = 2048;
+            harness.start();
+            java.util.List<ScriptedServer.Client> clients = new java.util.ArrayList<>();
             try {
                 String half = "x".repeat(60_000);
                 for (int i = 0; i < 200; i++) {
-                    clients.add(rig.client().send(post("h" + i, "Content-Length: 64000") + half));
+                    clients.add(harness.client().send(post("h" + i, "Content-Length: 64000") + half));
                 }
-                // 8 MiB are 140 such halves; of the others each is taken before it is whole.
-                String taken = rig.await("request");
+                // 8 MiB hold 140 such halves; of the others each request is forwarded before its body is complete.
+                String taken = harness.await("request");
                 assertTrue(taken.startsWith("request h1"), taken);
-                for (Peer.Client c : clients) {
+                for (ScriptedServer.Client c : clients) {
                     c.send("x".repeat(4_000));
                 }
-                for (Peer.Client c : clients) {
+                for (ScriptedServer.Client c : clients) {
                     assertEquals(
                             200,
                             c.status(),
-                            rig.told.stream()
+                            harness.balancerEvents.stream()
                                     .filter(t -> t.startsWith("outcome") && !t.contains(" OK "))
                                     .toList()
                                     .toString());
                 }
                 assertEquals(
-                        200, rig.peers.stream().mapToInt(p -> p.messages.size()).sum());
+                        200,
+                        harness.upstreams.stream()
+                                .mapToInt(p -> p.messages.size())
+                                .sum());
             } finally {
-                for (Peer.Client c : clients) {
+                for (ScriptedServer.Client c : clients) {
                     c.close();
                 }
             }
         }
     }
 
-    /** Its answer comes at once, and is not lost because its client is still sending. */
+    /** The error is sent at once, and is not lost because its client is still sending. */
     @Test
-    void whatIsNoRequestIsAnsweredHoweverLongItsBody() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "done"));
-            rig.start();
-            for (String error : new String[] {
+    void respondsToInvalidRequestWithLargeBody() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "done"));
+            harness.start();
+            for (String invalidRequest : new String[] {
                 post("a", "Content-Length: 33554432").replace("X-Lane: k", "X-Lane: nobody"),
                 post("b", "Content-Length: 33554432").replace("/api", "/other")
             }) {
-                try (Peer.Client client = rig.client()) {
-                    client.send(error);
+                try (ScriptedServer.Client client = harness.client()) {
+                    client.send(invalidRequest);
                     write(client.socket.getOutputStream(), false, 512);
                     int status = client.status();
                     assertTrue(status == 400 || status == 404, "status " + status);
-                    assertTrue(client.ended());
+                    assertTrue(client.awaitClose());
                 }
             }
-            try (Peer.Client client = rig.client()) {
+            try (ScriptedServer.Client client = harness.client()) {
                 client.send(post("c", "Expect: 100-continue\r\nContent-Length: " + 2 * BLOCK.length));
-                assertTrue(client.answer().head().startsWith("HTTP/1.1 100 "));
+                assertTrue(client.response().head().startsWith("HTTP/1.1 100 "));
                 write(client.socket.getOutputStream(), false, 2);
-                assertEquals("done", client.answer().body());
+                assertEquals("done", client.response().body());
                 client.send(post("d", "Content-Length: 67108865"));
                 assertEquals(413, client.status());
             }
         }
     }
 
-    /** Who speaks HTTP/1.0 knows no chunks: the end of the connection ends the answer. */
+    /** HTTP/1.0 has no chunked encoding: the end of the connection ends the response. */
     @Test
-    void anOldClientIsGivenNoChunks() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> answer(line, true, 3));
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+    void sendsNoChunksToHttp10Client() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> answer(connection, true, 3));
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 InputStream in = client.socket.getInputStream();
-                client.send(Rig.get("old", 20_000).replace("HTTP/1.1", "HTTP/1.0"));
+                client.send(SidecarHarness.get("old", 20_000).replace("HTTP/1.1", "HTTP/1.0"));
                 String head = head(in);
                 assertTrue(!head.contains("chunked"), head);
                 byte[] body = in.readAllBytes();
--- a/src/test/java/loadbalancer/sidecar/RepeatsTest.java
+++ b/src/test/java/loadbalancer/sidecar/RepeatsTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What may be sent a second time, and until when, whatever the connections do: with the program's own module but where
- * said.
+ * Which requests may be sent a second time, and until when, whatever happens to connections. Uses the production
+ * balancer except where noted.
  */
 @Timeout(60)
 class RepeatsTest {
-    /** As the settings have them: two upstreams, no reports, and a class that must not be repeated. */
-    private static Rig rig() throws IOException {
-        Rig rig = new Rig();
-        rig.settings = rig.settings
+    /** Settings with two upstreams, no load reports, and a class that must not be retried. */
+    private static SidecarHarness harness() throws IOException {
+        SidecarHarness harness = new SidecarHarness();
+        harness.settings = harness.settings
                 .replace(
                         "\"profiles\":[",
                         "\"profiles\":[{\"name\":\"u\",\"semantics\":\"unsafe\",\"objective_us\":300000,"
@@ -32,18 +32,21 @@
                 .replace("\"probing\":true", "\"probing\":false")
                 .replace("\"peers\":true", "\"peers\":false")
                 .replace("\"cancelling\":true", "\"cancelling\":true,\"second_copies\":true");
-        rig.decides = true;
-        return rig;
+        harness.usesProductionBalancer = true;
+        return harness;
     }
 
-    /** How each is answered that is sent in turn on one connection, with two upstreams that do as the script says. */
-    private static List<Integer> statuses(Peer.Script script, String... requests) throws Exception {
+    /**
+     * The response statuses of requests sent one after the other on one connection, with two upstreams that follow the
+     * script.
+     */
+    private static List<Integer> statuses(ScriptedServer.Script script, String... requests) throws Exception {
         List<Integer> statuses = new ArrayList<>();
-        try (Rig rig = rig()) {
-            rig.upstream(script);
-            rig.upstream(script);
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+        try (SidecarHarness harness = harness()) {
+            harness.addUpstream(script);
+            harness.addUpstream(script);
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 for (String request : requests) {
                     statuses.add(client.send(request).status());
                 }
@@ -54,48 +57,48 @@
 
     private static String request(String lane, String id, long remainingMs) {
         return lane.equals("c")
-                ? Rig.get(id, remainingMs)
-                : Rig.post(id, lane, lane.equals("k") ? "key-" + id : null, remainingMs);
+                ? SidecarHarness.get(id, remainingMs)
+                : SidecarHarness.post(id, lane, lane.equals("k") ? "key-" + id : null, remainingMs);
     }
 
     /**
-     * An idle connection is closed in the instant in which it is written to: the request may have run. What is safe or
-     * keyed is tried again, what is unsafe has failed.
+     * An idle connection is closed at the moment when a request is written to it, so the request may have run. Safe and
+     * keyed requests are retried, unsafe ones fail.
      */
     @Test
-    void anIdleConnectionThatBreaksAsItIsWrittenToMayHaveRunWhatItCarried() throws Exception {
+    void requestOnConnectionThatBreaksMayHaveRun() throws Exception {
         for (Map.Entry<String, Integer> c : Map.of("c", 200, "k", 200, "u", 502).entrySet()) {
             AtomicInteger sent = new AtomicInteger();
             AtomicInteger broken = new AtomicInteger();
-            Peer.Script script = (m, line) -> {
+            ScriptedServer.Script script = (m, connection) -> {
                 if (m.header("X-Txn").equals("warm")) {
-                    line.answer("200 OK", "", "warm");
+                    connection.respond("200 OK", "", "warm");
                 } else if (sent.incrementAndGet() == 1) {
                     broken.incrementAndGet();
-                    line.reset();
+                    connection.reset();
                 } else {
-                    line.answer("200 OK", "", "again");
+                    connection.respond("200 OK", "", "again");
                 }
             };
             assertEquals(
                     List.of(200, c.getValue()),
-                    statuses(script, Rig.get("warm", 20_000), request(c.getKey(), "a1", 20_000)),
+                    statuses(script, SidecarHarness.get("warm", 20_000), request(c.getKey(), "a1", 20_000)),
                     c.getKey());
             assertEquals(1, broken.get());
-            assertEquals(c.getKey().equals("u") ? 1 : 2, sent.get(), c.getKey() + ": times sent");
+            assertEquals(c.getKey().equals("u") ? 1 : 2, sent.get(), c.getKey() + ": number of attempts");
         }
     }
 
-    /** One that surely never ran is tried again whatever its class: turned away, or nobody listened. */
+    /** A request that was rejected by the upstream has certainly not run and is retried whatever its class. */
     @Test
-    void whatSurelyNeverRanIsTriedAgainAlsoWhereUnsafe() throws Exception {
+    void retriesRequestThatNeverRanEvenIfUnsafe() throws Exception {
         for (String lane : new String[] {"c", "k", "u"}) {
             AtomicInteger sent = new AtomicInteger();
-            Peer.Script script = (m, line) -> {
+            ScriptedServer.Script script = (m, connection) -> {
                 if (sent.incrementAndGet() == 1) {
-                    line.answer("503 Full", "X-Turned-Away: 1\r\n", "");
+                    connection.respond("503 Full", "X-Turned-Away: 1\r\n", "");
                 } else {
-                    line.answer("200 OK", "", "again");
+                    connection.respond("200 OK", "", "again");
                 }
             };
             assertEquals(List.of(200), statuses(script, request(lane, "a1", 20_000)), lane);
@@ -104,30 +107,30 @@
     }
 
     /**
-     * Upstreams that hang: an unsafe request is out once, until its time is over, and is then answered as failed, not
-     * refused.
+     * With hanging upstreams an unsafe request is sent once, and at its deadline it fails; it is not rejected, as it
+     * may have run.
      */
     @Test
-    void anUnsafeRequestNeverHasTwoAttemptsOutAndIsNotRefusedOnceItMayHaveRun() throws Exception {
+    void unsafeRequestIsSentOnceAndFailsAtDeadline() throws Exception {
         AtomicInteger sent = new AtomicInteger();
-        assertEquals(List.of(502), statuses((m, line) -> sent.incrementAndGet(), request("u", "a1", 1_500)));
-        assertEquals(1, sent.get(), "attempts out");
+        assertEquals(List.of(502), statuses((m, connection) -> sent.incrementAndGet(), request("u", "a1", 1_500)));
+        assertEquals(1, sent.get(), "number of attempts");
     }
 
     /**
-     * A repeat of a keyed request is decided inside the window, and its connection comes up after it: those who drop
-     * repeats have forgotten the first by then. The module is the test's, which repeats at once.
+     * A retry of a keyed request is decided within the idempotency window, but its connection is established after it,
+     * when upstreams have forgotten the first attempt. The test's balancer retries at once.
      */
     @Test
-    void aKeyedRepeatIsNotSentWhenItsConnectionComesUpAfterTheWindow() throws Exception {
-        try (Rig rig = new Rig();
-                LateDoor late = new LateDoor()) {
-            rig.settings = rig.settings
+    void doesNotSendKeyedRetryWhenConnectedAfterWindow() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness();
+                FullBacklogServer fullServer = new FullBacklogServer()) {
+            harness.settings = harness.settings
                     .replace("\"window_us\":4000000", "\"window_us\":200000")
                     .replace("\"dial_timeout_us\":2000000", "\"dial_timeout_us\":20000000");
-            rig.upstream((m, line) -> line.answer("500 No", "", ""));
-            rig.upstreamAt(late.address());
-            rig.onOutcome = (id, outcome, done, out) -> {
+            harness.addUpstream((m, connection) -> connection.respond("500 No", "", ""));
+            harness.addUpstreamAt(fullServer.address());
+            harness.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == Outcome.ERROR) {
                     out.send(id, "u1", 0);
                     out.startTimer("over", 250_000);
@@ -135,16 +138,17 @@
                     out.fail(id);
                 }
             };
-            rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.post("a1", "k", "key", 10_000));
-                // It is being connected, and the window is over; the kernel tries again a second after its first try.
-                rig.await("timer over");
-                late.letsIn();
-                assertEquals("outcome a1 1 NOT_SENT false -", rig.await("outcome"));
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
+                client.send(SidecarHarness.post("a1", "k", "key", 10_000));
+                // The connect is in progress and the window has ended; the kernel retries a connect one second after
+                // the first try.
+                harness.await("timer over");
+                fullServer.drainBacklog();
+                assertEquals("outcome a1 1 NOT_SENT false -", harness.await("outcome"));
                 assertEquals(502, client.status());
             }
-            assertTrue(late.heardNobody(), "it was sent all the same");
+            assertTrue(fullServer.nextConnectionSentNothing(), "the retry was sent after the window");
         }
     }
 }
--- a/src/test/java/loadbalancer/sidecar/Peer.java
+++ b/src/test/java/loadbalancer/sidecar/ScriptedServer.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on loopback that answers each message as the test says: an upstream or discovery. */
-final class Peer implements AutoCloseable {
-    /** What a test does with one message; to write nothing leaves the sender waiting. */
+/** A server on loopback that responds to each message as the test specifies: an upstream or discovery. */
+final class ScriptedServer implements AutoCloseable {
+    /** Handles one message; a script that writes nothing leaves the sender waiting. */
     interface Script {
-        void handle(Message message, Line line) throws IOException;
+        void handle(Message message, Connection connection) throws IOException;
     }
 
     record Message(String head, String body) {
@@ -26,7 +26,7 @@
             return head.split(" ")[1];
         }
 
-        /** Null where there is no such header. */
+        /** The header's value; null where the message has no such header. */
         String header(String name) {
             return head.lines()
                     .skip(1)
@@ -37,14 +37,14 @@
         }
     }
 
-    /** One connection as its server sees it. */
-    record Line(Socket socket) {
+    /** One accepted connection. */
+    record Connection(Socket socket) {
         void raw(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
         }
 
-        void answer(String status, String headers, String body) throws IOException {
+        void respond(String status, String headers, String body) throws IOException {
             raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
@@ -60,7 +60,7 @@
     private final ServerSocket server;
     volatile Script script;
 
-    Peer(Script script) throws IOException {
+    ScriptedServer(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         start(this::accept);
@@ -79,7 +79,7 @@
     Message next() throws InterruptedException {
         Message m = messages.poll(20, TimeUnit.SECONDS);
         if (m == null) {
-            throw new AssertionError("no message came");
+            throw new AssertionError("no message arrived within 20 s");
         }
         return m;
     }
@@ -93,7 +93,7 @@
                 start(() -> serve(socket));
             }
         } catch (IOException exception) {
-            // closed
+            // The server was closed.
         }
     }
 
@@ -101,14 +101,17 @@
         try {
             for (Message m; (m = read(socket.getInputStream())) != null; ) {
                 messages.add(m);
-                script.handle(m, new Line(socket));
+                script.handle(m, new Connection(socket));
             }
         } catch (IOException exception) {
-            // the other side ended
+            // The client closed the connection.
         }
     }
 
-    /** One HTTP message with a body of its stated length; null where the stream ends before one. */
+    /**
+     * Reads one HTTP message with a body of its stated length or in chunks; null where the stream ends before the head
+     * does.
+     */
     static Message read(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -145,7 +148,7 @@
             line.append((char) c);
         }
         if (line.length() == 0) {
-            throw new IOException("it ended");
+            throw new IOException("the stream ended inside a chunked body");
         }
         return line.toString().trim();
     }
@@ -174,23 +177,23 @@
             return this;
         }
 
-        /** The next answer; null where the connection ends without one. */
-        Message answer() throws IOException {
+        /** Reads the next response; null where the connection ends without one. */
+        Message response() throws IOException {
             return read(socket.getInputStream());
         }
 
-        /** Waits for the end of the connection; false where something else comes first. */
-        boolean ended() throws IOException {
+        /** Waits until the server closes the connection; false if it sends data instead. */
+        boolean awaitClose() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
             } catch (java.net.SocketException exception) {
-                // Closed with something of ours unread: an end as well.
+                // A close with unread data of this client is reported as a reset.
                 return true;
             }
         }
 
         int status() throws IOException {
-            Message m = answer();
+            Message m = response();
             return m == null ? -1 : Integer.parseInt(m.head.split(" ")[1]);
         }
 
--- a/src/test/java/loadbalancer/sidecar/RetuneTest.java
+++ b/src/test/java/loadbalancer/sidecar/SettingsReloadTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Settings that change while requests are held. */
+/** Settings that are reloaded while requests are in progress. */
 @Timeout(60)
-class RetuneTest {
-    private static final String ADDED = Rig.SETTINGS
+class SettingsReloadTest {
+    private static final String SETTINGS_WITH_NEW_CLASS = SidecarHarness.SETTINGS
             .replace(
                     "{\"name\":\"c\"",
                     """
@@ -24,63 +24,65 @@
     }
 
     @Test
-    void aNewClassIsServedAndOpenRequestsKeepTheirAttempts() throws Exception {
-        try (Rig rig = new Rig()) {
-            CountDownLatch retuned = new CountDownLatch(1);
-            Peer node = rig.upstream((m, line) -> {
+    void servesNewClassAndKeepsAttemptsOfOpenRequests() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            CountDownLatch reloaded = new CountDownLatch(1);
+            ScriptedServer node = harness.addUpstream((m, connection) -> {
                 if (m.header("X-Txn").equals("open")) {
                     try {
-                        retuned.await(20, TimeUnit.SECONDS);
+                        reloaded.await(20, TimeUnit.SECONDS);
                     } catch (InterruptedException exception) {
                         Thread.currentThread().interrupt();
                     }
                 }
-                line.answer(m.header("X-Txn").equals("ok") ? "200 OK" : "500 No", "", "");
+                connection.respond(m.header("X-Txn").equals("ok") ? "200 OK" : "500 No", "", "");
             });
-            rig.onOutcome = (id, outcome, done, out) -> {
+            harness.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == loadbalancer.balancing.Balancer.Outcome.NOT_SENT) {
                     out.fail(id);
                 } else if (!done) {
                     out.send(id, "u0", 0);
                 }
             };
-            rig.start();
-            try (Peer.Client open = rig.client();
-                    Peer.Client client = rig.client()) {
+            harness.start();
+            try (ScriptedServer.Client open = harness.client();
+                    ScriptedServer.Client client = harness.client()) {
                 assertEquals(400, client.send(post("early", "new")).status());
-                open.send(Rig.get("open", 20_000));
-                rig.await("request open");
-                rig.settings = ADDED;
-                rig.reload(rig.discovery.address());
-                rig.await("settings [new, c, k]");
-                retuned.countDown();
+                open.send(SidecarHarness.get("open", 20_000));
+                harness.await("request open");
+                harness.settings = SETTINGS_WITH_NEW_CLASS;
+                harness.reload(harness.discovery.address());
+                harness.await("settings [new, c, k]");
+                reloaded.countDown();
                 assertEquals(502, open.status());
-                assertEquals(4, node.messages.size(), "the open request keeps its four attempts");
+                assertEquals(4, node.messages.size(), "the open request did not keep its four attempts");
             }
-            try (Peer.Client client = rig.client()) {
-                assertEquals(502, client.send(Rig.get("one", 20_000)).status());
+            try (ScriptedServer.Client client = harness.client()) {
+                assertEquals(502, client.send(SidecarHarness.get("one", 20_000)).status());
                 assertEquals(5, node.messages.size());
                 assertEquals(200, client.send(post("ok", "new")).status());
-                // Who has not followed yet is served under the class as it was.
-                rig.settings = ADDED.replace("\"name\":\"c\"", "\"name\":\"d\"");
-                rig.reload(rig.discovery.address());
-                rig.await("settings [new, d, k]");
-                assertEquals(502, client.send(Rig.get("late", 20_000)).status());
+                // A client that still uses the former class is served under it.
+                harness.settings = SETTINGS_WITH_NEW_CLASS.replace("\"name\":\"c\"", "\"name\":\"d\"");
+                harness.reload(harness.discovery.address());
+                harness.await("settings [new, d, k]");
+                assertEquals(
+                        502, client.send(SidecarHarness.get("late", 20_000)).status());
             }
         }
     }
 
-    /** A file that is cut anywhere, or has lost a key, is no configuration. */
+    /** A truncated file, or one that lacks a key of the active file, is invalid. */
     @Test
-    void noCutFileIsTaken() throws Exception {
+    void rejectsTruncatedFile() throws Exception {
         String json =
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\",\"known\":"
-                        + Rig.list(1, true) + ",\"limits\":{\"sockets\":99},\"settings\":" + Rig.SETTINGS + "}";
-        SidecarConfig inForce = Rig.config(json);
-        Rig.config(json).requireKeysOf(inForce);
+                        + SidecarHarness.list(1, true) + ",\"limits\":{\"sockets\":99},\"settings\":"
+                        + SidecarHarness.SETTINGS + "}";
+        SidecarConfig active = SidecarHarness.config(json);
+        SidecarHarness.config(json).requireKeysOf(active);
         for (int cut = 0; cut < json.length(); cut++) {
-            String torn = json.substring(0, cut);
-            assertThrows(SidecarConfig.InvalidConfigException.class, () -> Rig.config(torn), torn);
+            String truncated = json.substring(0, cut);
+            assertThrows(SidecarConfig.InvalidConfigException.class, () -> SidecarHarness.config(truncated), truncated);
         }
         for (String key : new String[] {
             "\"seed\":\"1\",",
@@ -94,7 +96,7 @@
             String without = json.replace(key, "");
             assertThrows(
                     SidecarConfig.InvalidConfigException.class,
-                    () -> Rig.config(without).requireKeysOf(inForce),
+                    () -> SidecarHarness.config(without).requireKeysOf(active),
                     key);
         }
     }
--- a/src/test/java/loadbalancer/sidecar/ShutdownTest.java
+++ b/src/test/java/loadbalancer/sidecar/ShutdownTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A planned stop loses nothing that a client has sent. */
+/** A graceful shutdown loses no request that a client has sent. */
 @Timeout(60)
 class ShutdownTest {
     @Test
-    void newConnectionsAndHalfReadRequestsAreServedAfterTheStopWasAskedFor() throws Exception {
-        try (Rig rig = new Rig()) {
+    void servesNewConnectionsAndIncompleteRequestsAfterStop() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
             CountDownLatch answer = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
+            harness.addUpstream((m, connection) -> {
                 if (m.header("X-Txn").equals("held")) {
                     try {
                         answer.await();
@@ -23,72 +23,72 @@
                         throw new java.io.InterruptedIOException();
                     }
                 }
-                line.answer("200 OK", "", m.header("X-Txn"));
+                connection.respond("200 OK", "", m.header("X-Txn"));
             });
-            rig.start();
+            harness.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client held = rig.client();
-                    Peer.Client half = rig.client();
-                    Peer.Client idle = rig.client()) {
-                held.send(Rig.get("held", 30_000));
-                rig.await("request held");
-                idle.send(Rig.get("before", 30_000));
-                assertEquals("before", idle.answer().body());
-                String text = Rig.get("half", 30_000);
+            try (ScriptedServer.Client held = harness.client();
+                    ScriptedServer.Client half = harness.client();
+                    ScriptedServer.Client idle = harness.client()) {
+                held.send(SidecarHarness.get("held", 30_000));
+                harness.await("request held");
+                idle.send(SidecarHarness.get("before", 30_000));
+                assertEquals("before", idle.response().body());
+                String text = SidecarHarness.get("half", 30_000);
                 half.send(text.substring(0, 30));
-                rig.sidecar.stop(stopped::countDown);
-                try (Peer.Client fresh = rig.client()) {
-                    fresh.send(Rig.get("fresh", 30_000));
-                    Peer.Message m = fresh.answer();
+                harness.sidecar.stop(stopped::countDown);
+                try (ScriptedServer.Client fresh = harness.client()) {
+                    fresh.send(SidecarHarness.get("fresh", 30_000));
+                    ScriptedServer.Message m = fresh.response();
                     assertEquals("fresh", m.body());
                     assertEquals("close", m.header("Connection"));
-                    assertEquals(null, fresh.answer());
+                    assertEquals(null, fresh.response());
                 }
-                // An idle connection is closed; until then it is served.
-                assertEquals(null, idle.answer());
+                // The shutdown closes the idle connection; requests on it before that are still served.
+                assertEquals(null, idle.response());
                 half.send(text.substring(30));
-                Peer.Message late = half.answer();
+                ScriptedServer.Message late = half.response();
                 assertEquals("half", late.body());
                 assertEquals("close", late.header("Connection"));
-                assertEquals(1, stopped.getCount(), "it stopped with a request held");
+                assertEquals(1, stopped.getCount(), "the sidecar stopped with a request in progress");
                 answer.countDown();
-                assertEquals("held", held.answer().body());
-                assertEquals(null, held.answer());
+                assertEquals("held", held.response().body());
+                assertEquals(null, held.response());
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
             }
         }
     }
 
-    /** Half a request whose client has fallen silent holds up the stop no longer than a client would wait. */
+    /** An incomplete request of a silent client delays the shutdown no longer than a client would wait. */
     @Test
-    void aClientThatFellSilentDoesNotKeepTheSidecarFromEnding() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.start();
+    void silentClientDoesNotPreventStop() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client half = rig.client()) {
+            try (ScriptedServer.Client half = harness.client()) {
                 half.send("GET /api HTTP/1.1\r\nX-T");
-                rig.sidecar.stop(stopped::countDown);
+                harness.sidecar.stop(stopped::countDown);
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
                 assertEquals(408, half.status());
             }
         }
     }
 
-    /** Beyond the cap an idle connection makes room; otherwise new ones would wait for ever. */
+    /** At the limit of connections an idle one is closed to make room; otherwise new ones would wait forever. */
     @Test
-    void idleClientsMakeRoomForNewOnes() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.sockets = 64 + 2 * 16;
-            rig.start();
-            Peer.Client[] clients = new Peer.Client[40];
+    void closesIdleConnectionsForNewOnes() throws Exception {
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.maxDescriptors = 64 + 2 * 16;
+            harness.start();
+            ScriptedServer.Client[] clients = new ScriptedServer.Client[40];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = rig.client();
-                clients[i].send(Rig.get("c" + i, 30_000));
+                clients[i] = harness.client();
+                clients[i].send(SidecarHarness.get("c" + i, 30_000));
                 assertEquals(200, clients[i].status());
             }
-            assertEquals(null, clients[0].answer());
-            for (Peer.Client c : clients) {
+            assertEquals(null, clients[0].response());
+            for (ScriptedServer.Client c : clients) {
                 c.close();
             }
         }
--- a/src/test/java/loadbalancer/sidecar/Rig.java
+++ b/src/test/java/loadbalancer/sidecar/SidecarHarness.java
@@ -14,8 +14,8 @@
 import loadbalancer.balancing.Balancer;
 import loadbalancer.operator.OperatorConfiguration;
 
-/** A sidecar in this process, with a module that does what the test says and writes down what it is told. */
-final class Rig implements AutoCloseable {
+/** A sidecar in this process, whose balancer acts as the test specifies and records each event. */
+final class SidecarHarness implements AutoCloseable {
     static final String SETTINGS =
             """
             {"me":0,"balancers":2,"zone":"za","azs":["za"],"kinds":["k"],"discovery":"on_request",
@@ -29,62 +29,62 @@
              "load_info":{"how":"inline","fields":["busy_reqs","pending","cpu_share"]},
              "something_new":{"a":[{"b":null}]}}""";
 
-    /** What the module does with a request. */
-    interface OnRequest {
-        void take(long nowMicros, Balancer.Request request, Balancer.Actions out);
+    /** The balancer's action on a request. */
+    interface RequestHandler {
+        void handle(long nowMicros, Balancer.Request request, Balancer.Actions out);
     }
 
-    /** What the module does when an attempt has ended without success. */
-    interface OnOutcome {
-        void take(String request, Balancer.Outcome outcome, boolean done, Balancer.Actions out);
+    /** The balancer's action on an attempt that has ended. */
+    interface OutcomeHandler {
+        void handle(String request, Balancer.Outcome outcome, boolean done, Balancer.Actions out);
     }
 
-    final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    final List<Peer> peers = new ArrayList<>();
-    final Peer discovery;
-    volatile OnRequest onRequest = (nowMicros, r, out) -> out.send(r.id(), "u0", 0);
-    volatile OnOutcome onOutcome = (id, outcome, done, out) -> {
+    final BlockingQueue<String> balancerEvents = new LinkedBlockingQueue<>();
+    final List<ScriptedServer> upstreams = new ArrayList<>();
+    final ScriptedServer discovery;
+    volatile RequestHandler onRequest = (nowMicros, r, out) -> out.send(r.id(), "u0", 0);
+    volatile OutcomeHandler onOutcome = (id, outcome, done, out) -> {
         if (!done) {
             out.fail(id);
         }
     };
     Sidecar sidecar;
-    String peerFields = "";
+    String extraConfigFields = "";
     String listen = "127.0.0.1:0";
-    /** Set before the start: another process's part is played by another rig. */
+    /** Set before the start; another harness plays the other process. */
     Handover handover;
 
     String settings = SETTINGS;
-    /** Whether the module asks for a watch. */
-    boolean asks = true;
+    /** Whether the balancer polls discovery. */
+    boolean pollsDiscovery = true;
 
-    int sockets = 1024;
+    int maxDescriptors = 1024;
     OperatorConfiguration operator = OperatorConfiguration.NONE;
-    /** The program's own module decides, and the test is told nothing. */
-    boolean decides;
+    /** Whether the sidecar uses the production balancer; then no events are recorded. */
+    boolean usesProductionBalancer;
 
     private volatile Balancer.Actions actions;
 
-    Rig(Peer.Script discovers) throws IOException {
-        discovery = new Peer(discovers);
+    SidecarHarness(ScriptedServer.Script discoveryScript) throws IOException {
+        discovery = new ScriptedServer(discoveryScript);
     }
 
-    /** Discovery that keeps every watch waiting. */
-    Rig() throws IOException {
-        this((m, line) -> {});
+    /** Creates a harness whose discovery never responds to a watch. */
+    SidecarHarness() throws IOException {
+        this((m, connection) -> {});
     }
 
-    Peer upstream(Peer.Script script) throws IOException {
-        Peer p = new Peer(script);
-        peers.add(p);
+    ScriptedServer addUpstream(ScriptedServer.Script script) throws IOException {
+        ScriptedServer p = new ScriptedServer(script);
+        upstreams.add(p);
         return p;
     }
 
-    private final List<String> others = new ArrayList<>();
+    private final List<String> unscriptedUpstreams = new ArrayList<>();
 
-    /** One more, after all peers, that the test plays itself. */
-    void upstreamAt(String address) {
-        others.add(address);
+    /** Adds an upstream, listed after the scripted ones, at an address that the test itself serves. */
+    void addUpstreamAt(String address) {
+        unscriptedUpstreams.add(address);
     }
 
     static String entry(String id, String address, String lifecycle, long startedAtMs) {
@@ -92,18 +92,18 @@
                 + "\"cell\":1,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":" + startedAtMs + "}";
     }
 
-    static String list(long generation, boolean whole, String... entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":[" + String.join(",", entries)
-                + "]}";
+    static String list(long generation, boolean complete, String... entries) {
+        return "{\"generation\":" + generation + ",\"reset\":" + complete + ",\"instances\":["
+                + String.join(",", entries) + "]}";
     }
 
-    String known() {
+    String knownEndpoints() {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < peers.size(); i++) {
-            entries.add(entry("u" + i, peers.get(i).address(), "Ready", 0));
+        for (int i = 0; i < upstreams.size(); i++) {
+            entries.add(entry("u" + i, upstreams.get(i).address(), "Ready", 0));
         }
-        for (int i = 0; i < others.size(); i++) {
-            entries.add(entry("u" + (peers.size() + i), others.get(i), "Ready", 0));
+        for (int i = 0; i < unscriptedUpstreams.size(); i++) {
+            entries.add(entry("u" + (upstreams.size() + i), unscriptedUpstreams.get(i), "Ready", 0));
         }
         return list(41, true, entries.toArray(String[]::new));
     }
@@ -120,32 +120,32 @@
 
     String json(String discoveryAddress) {
         return "{\"name\":\"n0\",\"listen\":\"" + listen + "\",\"discovery\":\"" + discoveryAddress
-                + "\",\"seed\":\"8c1f30d27a5be964\"," + peerFields + "\"known\":" + known()
-                + ",\"limits\":{\"sockets\":" + sockets + "},\"settings\":" + settings + "}";
+                + "\",\"seed\":\"8c1f30d27a5be964\"," + extraConfigFields + "\"known\":" + knownEndpoints()
+                + ",\"limits\":{\"sockets\":" + maxDescriptors + "},\"settings\":" + settings + "}";
     }
 
-    /** As on SIGHUP, with a file that names another discovery. */
+    /** Reloads the configuration as on SIGHUP, with this discovery address. */
     void reload(String discoveryAddress) throws Exception {
         sidecar.reconfigure(config(json(discoveryAddress)), operator);
     }
 
-    /** Set before the start: the sidecar is not ready, and this runs with each request that it takes all the same. */
-    Runnable rehearsal;
+    /** Set before the start: the sidecar starts in warm-up, not ready, and runs this when a request arrives. */
+    Runnable onWarmUpRequest;
 
-    Rig start() throws Exception {
+    SidecarHarness start() throws Exception {
         SidecarConfig config = config(json(discovery.address()));
         sidecar = new Sidecar(
                 config,
                 operator,
-                decides
+                usesProductionBalancer
                         ? Engine.balancer(operator)
                         : (settings, others, seed, nowMicros, out) -> {
                             actions = out;
-                            return new Recorder();
+                            return new RecordingBalancer();
                         },
                 handover);
-        if (rehearsal != null) {
-            sidecar.startWarmUp(rehearsal);
+        if (onWarmUpRequest != null) {
+            sidecar.startWarmUp(onWarmUpRequest);
         }
         sidecar.start();
         return this;
@@ -155,14 +155,17 @@
         return sidecar.listenAddress();
     }
 
-    Peer.Client client() throws IOException {
-        return new Peer.Client(address());
+    ScriptedServer.Client client() throws IOException {
+        return new ScriptedServer.Client(address());
     }
 
-    /** So many connections of one request each: idle ones are hardly kept from then on. */
-    void askOnceEach(int connections) throws IOException {
+    /**
+     * Opens this many connections and sends one request on each, after which the sidecar keeps idle connections only
+     * briefly.
+     */
+    void sendOnePerConnection(int connections) throws IOException {
         for (int i = 0; i < connections; i++) {
-            try (Peer.Client once = client()) {
+            try (ScriptedServer.Client once = client()) {
                 if (once.send(get("once" + i, 20_000)).status() != 200) {
                     throw new AssertionError("request " + i + " was not served");
                 }
@@ -170,7 +173,7 @@
         }
     }
 
-    /** With a key where {@code key} is not null. */
+    /** A POST request of the class; without a key where {@code key} is null. */
     static String post(String id, String lane, String key, long remainingMs) {
         return get(id, remainingMs)
                 .replace("GET", "POST")
@@ -186,22 +189,23 @@
     }
 
     /**
-     * Once the module has sent: waits until the tasks are done that begin to dial, each of which may queue the next.
+     * Called once the balancer has sent: waits until the event loop has run the tasks that begin to connect, each of
+     * which may queue the next.
      */
-    void dials() throws InterruptedException {
+    void awaitConnectTasks() throws InterruptedException {
         for (int i = 0; i < 10; i++) {
             sidecar.loop().submit(() -> {}).sync();
         }
     }
 
-    /** Waits until the module was told something that starts so. */
+    /** Waits until the balancer has got an event that starts with this text, and returns it. */
     String await(String start) throws InterruptedException {
-        for (String line; (line = told.poll(20, TimeUnit.SECONDS)) != null; ) {
+        for (String line; (line = balancerEvents.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (line.startsWith(start)) {
                 return line;
             }
         }
-        throw new AssertionError("the module was never told '" + start + "'");
+        throw new AssertionError("the balancer got no event that starts with '" + start + "'");
     }
 
     @Override
@@ -210,33 +214,33 @@
             sidecar.shutdownNow();
         }
         discovery.close();
-        for (Peer p : peers) {
+        for (ScriptedServer p : upstreams) {
             p.close();
         }
     }
 
-    private final class Recorder implements Balancer {
+    private final class RecordingBalancer implements Balancer {
         @Override
         public void onEndpointList(long nowMicros, EndpointListKind kind, List<Upstream> entries) {
-            told.add("list " + kind + " "
+            balancerEvents.add("list " + kind + " "
                     + String.join(
                             ",",
                             entries.stream().map(u -> u.id() + "=" + u.state()).toList()));
-            if (asks && (kind == EndpointListKind.CACHED || kind == EndpointListKind.FAILED)) {
+            if (pollsDiscovery && (kind == EndpointListKind.CACHED || kind == EndpointListKind.FAILED)) {
                 actions.pollDiscovery();
             }
         }
 
         @Override
         public void onSettings(long nowMicros, Settings settings) {
-            told.add("settings "
+            balancerEvents.add("settings "
                     + settings.classes().stream().map(RequestClass::name).toList());
         }
 
         @Override
         public void onRequest(long nowMicros, Request request) {
-            told.add("request " + request.id() + " " + request.remainingMicros());
-            onRequest.take(nowMicros, request, actions);
+            balancerEvents.add("request " + request.id() + " " + request.remainingMicros());
+            onRequest.handle(nowMicros, request, actions);
         }
 
         @Override
@@ -249,9 +253,9 @@
                 long latencyUs,
                 boolean done,
                 LoadReport report) {
-            told.add("outcome " + request + " " + attempt + " " + outcome + " " + done + " "
+            balancerEvents.add("outcome " + request + " " + attempt + " " + outcome + " " + done + " "
                     + (report == null ? "-" : report.inFlight()));
-            onOutcome.take(request, outcome, done, actions);
+            onOutcome.handle(request, outcome, done, actions);
         }
 
         @Override
@@ -259,27 +263,27 @@
 
         @Override
         public void onHealthCheck(long nowMicros, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
-            told.add("probe " + upstream + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
+            balancerEvents.add("probe " + upstream + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
         }
 
         @Override
         public void onExpired(long nowMicros, String request) {
-            told.add("expired " + request);
+            balancerEvents.add("expired " + request);
         }
 
         @Override
         public void onGossip(long nowMicros, int peer, byte[] message) {
-            told.add("peer " + peer + " " + message.length);
+            balancerEvents.add("peer " + peer + " " + message.length);
         }
 
         @Override
         public void onTimer(long nowMicros, String mark) {
-            told.add("timer " + mark);
+            balancerEvents.add("timer " + mark);
             if (mark.equals("stall")) {
                 LockSupport.parkNanos(120_000_000);
             }
             if (mark.equals("break")) {
-                throw new IllegalStateException("as the test wants");
+                throw new IllegalStateException("thrown by the test");
             }
         }
     }
--- a/src/test/java/loadbalancer/sidecar/SlowReaderTest.java
+++ b/src/test/java/loadbalancer/sidecar/SlowReaderTest.java
@@ -10,31 +10,31 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A client that is slow to read has its whole answer, however little idle connections are kept. */
+/** A slow client gets its whole response, however briefly idle connections are kept. */
 class SlowReaderTest {
-    private static final int ONCE = 150;
+    private static final int SINGLE_REQUEST_CONNECTIONS = 150;
     private static final int BLOCK = 64 * 1024;
-    /** Answers of different lengths, since only some end just while the kernel takes no more. */
+    /** Responses of different lengths, since only some end just when the kernel's buffer is full. */
     private static final int CLIENTS = 6;
 
-    private static final int LEAST = 8 * 1024 * 1024;
-    private static final int STEP = 40_000;
+    private static final int MIN_LENGTH = 8 * 1024 * 1024;
+    private static final int LENGTH_STEP = 40_000;
 
-    private static final class Slow implements AutoCloseable {
+    private static final class SlowClient implements AutoCloseable {
         final Socket socket = new Socket();
         final String id;
         final long length;
         long read;
-        boolean come;
+        boolean responseComplete;
 
-        Slow(Rig rig, int number) throws IOException {
+        SlowClient(SidecarHarness harness, int number) throws IOException {
             id = "long" + number;
-            length = LEAST + (long) number * STEP;
+            length = MIN_LENGTH + (long) number * LENGTH_STEP;
             socket.setReceiveBufferSize(4_096);
             socket.setSoTimeout(20_000);
-            socket.connect(rig.address());
+            socket.connect(harness.address());
             OutputStream out = socket.getOutputStream();
-            out.write(Rig.get(id, 20_000).getBytes(StandardCharsets.ISO_8859_1));
+            out.write(SidecarHarness.get(id, 20_000).getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
         }
 
@@ -50,57 +50,56 @@
         }
     }
 
-    private static void answer(Peer.Line line, long length) throws IOException {
-        line.raw("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n");
+    private static void answer(ScriptedServer.Connection connection, long length) throws IOException {
+        connection.raw("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n");
         byte[] block = new byte[BLOCK];
         for (long left = length; left > 0; left -= BLOCK) {
-            line.socket().getOutputStream().write(block, 0, (int) Math.min(left, BLOCK));
+            connection.socket().getOutputStream().write(block, 0, (int) Math.min(left, BLOCK));
         }
     }
 
     @Test
-    void theEndOfALongAnswerIsNotCutOffByTheSweep() throws Exception {
-        List<Slow> clients = new ArrayList<>();
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
+    void sweepOfIdleConnectionsDoesNotTruncateLongResponse() throws Exception {
+        List<SlowClient> clients = new ArrayList<>();
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> {
                 int at = m.head().indexOf("X-Txn: long");
                 if (at < 0) {
-                    line.answer("200 OK", "", "done");
+                    connection.respond("200 OK", "", "done");
                 } else {
                     String number =
                             m.head().substring(at + "X-Txn: long".length()).split("\\s", 2)[0];
-                    answer(line, LEAST + Long.parseLong(number) * STEP);
+                    answer(connection, MIN_LENGTH + Long.parseLong(number) * LENGTH_STEP);
                 }
             });
-            rig.start();
-            // Connections that are not used again leave hardly any patience with idle ones.
-            rig.askOnceEach(ONCE);
+            harness.start();
+            // After connections that are not reused, idle ones are kept only briefly.
+            harness.sendOnePerConnection(SINGLE_REQUEST_CONNECTIONS);
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(new Slow(rig, i));
+                clients.add(new SlowClient(harness, i));
             }
-            // Until all of it has come from the upstream: the rest lies in the sidecar then, as far as it is not with
-            // the kernel.
-            while (clients.stream().anyMatch(c -> !c.come)) {
-                for (Slow c : clients) {
-                    if (!c.come) {
+            // Reads until the sidecar has got the whole response; the rest is then in the sidecar or the kernel.
+            while (clients.stream().anyMatch(c -> !c.responseComplete)) {
+                for (SlowClient c : clients) {
+                    if (!c.responseComplete) {
                         c.read();
-                        c.come = rig.told.contains("outcome " + c.id + " 0 OK true -");
+                        c.responseComplete = harness.balancerEvents.contains("outcome " + c.id + " 0 OK true -");
                     }
                 }
             }
-            // Who says nothing from now on is closed by a sweep that looks at the slow ones too.
+            // A silent connection is closed by a sweep that checks the slow ones too.
             for (int i = 0; i < 2; i++) {
-                try (Peer.Client silent = rig.client()) {
-                    assertTrue(silent.ended());
+                try (ScriptedServer.Client silent = harness.client()) {
+                    assertTrue(silent.awaitClose());
                 }
             }
-            for (Slow c : clients) {
+            for (SlowClient c : clients) {
                 while (c.read < c.length) {
                     c.read();
                 }
             }
         } finally {
-            for (Slow c : clients) {
+            for (SlowClient c : clients) {
                 c.close();
             }
         }
--- a/src/test/java/loadbalancer/sidecar/StoredDecisionLogTest.java
+++ b/src/test/java/loadbalancer/sidecar/StoredDecisionLogTest.java
@@ -24,8 +24,7 @@
 import org.junit.jupiter.api.parallel.Resources;
 
 /**
- * Decisions on policies as a sidecar logs them, which {@code policy history} and {@code policy audit} read, and as its
- * status tells them.
+ * Policy events in a sidecar's log, which {@code policy history} and {@code policy audit} read, and the policy status.
  */
 @ResourceLock(Resources.SYSTEM_ERR)
 class StoredDecisionLogTest {
@@ -33,17 +32,17 @@
     private static final long ERA = 0x5eed_0042_c0deL, OLD = 0xa11ce_0001L, NEW = 0xa11ce_0002L;
     private static final long START_MS = 1_764_700_000_000L;
 
-    /** Groups: what is between time and text, and what is behind the text. */
+    /** Groups: the part between time and text, and the part after the text. */
     private static final Pattern TIME_AND_TEXT =
             Pattern.compile("\\{\"atMs\":[0-9]{13}(,\"level\":\"info\",\"event\":\"[a-z.]+\"),\"text\":\"[^\"]+\"(.*)");
 
-    /** Says what is in force as it is told. */
+    /** A source whose active stage the test sets. */
     private static final class FixedSource implements ConfigurationSource {
-        private ActiveStage inForce = new ActiveStage(ERA, 2, OLD, OLD, true);
+        private ActiveStage stage = new ActiveStage(ERA, 2, OLD, OLD, true);
 
         @Override
         public ActiveStage activeStage(long nowMicros) {
-            return inForce;
+            return stage;
         }
 
         @Override
@@ -73,7 +72,7 @@
 
         @Override
         public void receive(long nowMicros, int from, byte[] datagram) {
-            // Told by the test.
+            // The test sets the stage.
         }
 
         @Override
@@ -108,33 +107,33 @@
     }
 
     private final FixedSource source = new FixedSource();
-    private long nowUs = START_MS * 1000;
+    private long nowMicros = START_MS * 1000;
     private final AgreedConfiguration policies = new AgreedConfiguration(
-            (us, what) -> () -> {},
+            (delayMicros, task) -> () -> {},
             new Clock() {
                 @Override
                 public long nowMicros() {
-                    return nowUs;
+                    return nowMicros;
                 }
             },
             List.of(),
             check -> source,
             policy -> {});
 
-    private void inForce(long index, long from, long to, boolean sure) {
-        nowUs += 250_000;
-        source.inForce = new ActiveStage(ERA, index, from, to, sure);
+    private void setActiveStage(long index, long from, long to, boolean leaseValid) {
+        nowMicros += 250_000;
+        source.stage = new ActiveStage(ERA, index, from, to, leaseValid);
         policies.receive(1, new byte[0]);
     }
 
-    /** A start, a change of policy, and a lease that ran out and was granted again. */
-    private List<String> written(boolean json) {
+    /** Logs a start, a change of policy, and a lease that expired and was granted again; returns the lines. */
+    private List<String> logLines(boolean json) {
         PrintStream before = System.err;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
         Log.setJsonOutput(json);
         try {
-            // As loadbalancer.sidecar.Sidecar has them.
+            // The same event as in Sidecar.logListenAddress().
             Log.event(
                     "serves",
                     "a11ce/0 serves on /127.0.0.1:8080, limits",
@@ -143,15 +142,15 @@
                     "address",
                     "/127.0.0.1:8080");
             policies.start();
-            inForce(3, OLD, NEW, true);
-            inForce(4, NEW, NEW, true);
-            inForce(4, NEW, NEW, false);
-            inForce(4, NEW, NEW, true);
+            setActiveStage(3, OLD, NEW, true);
+            setActiveStage(4, NEW, NEW, true);
+            setActiveStage(4, NEW, NEW, false);
+            setActiveStage(4, NEW, NEW, true);
         } finally {
             Log.setJsonOutput(false);
             System.setErr(before);
         }
-        // Other classes of tests log too.
+        // Test classes that run at the same time log too.
         return out.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(line -> line.contains("a11ce"))
@@ -162,9 +161,9 @@
         return (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Texts are for people and may be reworded, so what is written is compared with the texts as they are now. */
+    /** Texts may be reworded, so the output is compared with the current texts and not with the stored ones. */
     @Test
-    void theTextsForPeopleAreWrittenWithTheProgramsName() {
+    void writesTextLinesWithProgramName() {
         assertEquals(
                 List.of(
                         "sidecar: a11ce/0 serves on /127.0.0.1:8080, limits",
@@ -173,20 +172,20 @@
                         "sidecar: policy a11ce0002 is in force",
                         "sidecar: may have missed a change of policy: goes on by a11ce0002 until it hears a majority",
                         "sidecar: sure again that policy a11ce0002 is in force"),
-                written(false));
+                logLines(false));
     }
 
     /**
-     * The events and fields that programs read: all but the wall clock's time, which is one line a second, and the text
-     * for people.
+     * The events and fields that programs read: all but the text and the wall clock's time, which differs from the
+     * stored one (one second from line to line).
      */
     @Test
-    void theEventsAndFieldsForProgramsAreWrittenAgainByteForByte() {
+    void writesJsonEventsAndFieldsAsStored() {
         assertEquals(
                 StoredSamples.lines(JSON).stream()
                         .map(StoredDecisionLogTest::withoutTimeAndText)
                         .toList(),
-                written(true).stream()
+                logLines(true).stream()
                         .map(StoredDecisionLogTest::withoutTimeAndText)
                         .toList());
     }
@@ -196,11 +195,9 @@
         return TIME_AND_TEXT.matcher(line).replaceFirst("{\"atMs\":0$1,\"text\":\"\"$2");
     }
 
-    /**
-     * A line of JSON has the text that a line of text has; the sample has no program's name at the start of its lines.
-     */
+    /** A JSON line has the same text as a text line; the stored text lines have no program name in front. */
     @Test
-    void bothFormsOfTheStoredLogAreOfTheSameEvents() {
+    void storedTextAndJsonLogsHaveTheSameTexts() {
         assertEquals(
                 StoredSamples.lines(TEXT),
                 StoredSamples.lines(JSON).stream()
@@ -210,7 +207,7 @@
     }
 
     @Test
-    void aStoredLogIsReadAsTheHistoryOfPolicies(@TempDir Path folder) throws Exception {
+    void readsPolicyHistoryFromStoredLog(@TempDir Path folder) throws Exception {
         Files.write(folder.resolve("sidecar-0.log"), StoredSamples.bytes(JSON));
         Files.write(folder.resolve("sidecar-1.log"), StoredSamples.bytes(JSON));
         PolicyHistory history = PolicyLogReader.read(folder);
@@ -223,18 +220,18 @@
                 history.describe());
     }
 
-    /** Only lines of JSON say what an audit needs. */
+    /** Only JSON lines have the fields that an audit needs. */
     @Test
-    void storedTextsArePassedOver(@TempDir Path folder) throws Exception {
+    void ignoresTextLines(@TempDir Path folder) throws Exception {
         Files.write(folder.resolve("sidecar-0.log"), StoredSamples.bytes(TEXT));
         assertEquals(List.of(), PolicyLogReader.read(folder).describe());
     }
 
     @Test
-    void theStatusOfPoliciesIsAnsweredAgainByteForByte() {
+    void writesPolicyStatusAsStored() {
         policies.start();
-        inForce(3, OLD, NEW, true);
-        nowUs += 1_500_000;
+        setActiveStage(3, OLD, NEW, true);
+        nowMicros += 1_500_000;
         StoredSamples.assertWritten(STATUS, JsonObject.write(policies.status()));
     }
 }
--- a/src/test/java/loadbalancer/sidecar/TracesTest.java
+++ b/src/test/java/loadbalancer/sidecar/TracesTest.java
@@ -24,25 +24,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a request went through is told to a collector as it was, whatever the collector does. */
+/** Requests are traced to a collector as they were, whatever the collector does. */
 @Timeout(60)
 class TracesTest {
     private static final String PARENT = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00";
-    private static final SamplingOptions TROUBLE = new SamplingOptions(100, 100, 0, 1, Set.of(), 100, 30_000_000);
+    private static final SamplingOptions PROBLEMS_ONLY = new SamplingOptions(100, 100, 0, 1, Set.of(), 100, 30_000_000);
     private static final SamplingOptions EVERYTHING = new SamplingOptions(100, 100, 1000, 1, Set.of(), 100, 30_000_000);
 
     private TraceCollector collector;
-    private Rig rig;
+    private SidecarHarness harness;
 
     @BeforeEach
-    void stage() throws Exception {
+    void setUp() throws Exception {
         collector = TraceCollector.alone();
-        rig = new Rig();
+        harness = new SidecarHarness();
     }
 
     @AfterEach
-    void away() throws Exception {
-        rig.close();
+    void tearDown() throws Exception {
+        harness.close();
         collector.close();
     }
 
@@ -76,20 +76,20 @@
                 && s.text(SpanAttributes.ATTEMPT).equals("" + number));
     }
 
-    /** The user's hard case: both attempts of a confirmation that was tried again, under the app's own trace. */
+    /** Both attempts of a retried confirmation are shown, under the trace of the application. */
     @Test
-    void aConfirmationTriedAgainShowsBothAttemptsUnderOneTrace() throws Exception {
-        Peer broken = rig.upstream((m, line) -> line.reset());
-        Peer good = rig.upstream((m, line) ->
-                line.answer("200 OK", "X-Pressure: TEXT busy_reqs=3, pending=2, cpu_share=0.5\r\n", "yes"));
-        rig.onOutcome = (id, outcome, done, out) -> {
+    void retriedConfirmationShowsBothAttemptsInOneTrace() throws Exception {
+        ScriptedServer broken = harness.addUpstream((m, connection) -> connection.reset());
+        ScriptedServer good = harness.addUpstream((m, connection) ->
+                connection.respond("200 OK", "X-Pressure: TEXT busy_reqs=3, pending=2, cpu_share=0.5\r\n", "yes"));
+        harness.onOutcome = (id, outcome, done, out) -> {
             if (!done) {
                 out.send(id, "u1", 0);
             }
         };
-        rig.operator = traces(TROUBLE);
-        rig.start();
-        try (Peer.Client client = rig.client()) {
+        harness.operator = traces(PROBLEMS_ONLY);
+        harness.start();
+        try (ScriptedServer.Client client = harness.client()) {
             assertEquals(
                     200,
                     client.send(confirm("a1", "key-1", "traceparent: " + PARENT + "\r\ntracestate: app=1\r\n"))
@@ -114,29 +114,29 @@
         assertEquals("3.0", second.text(SpanAttributes.NODE_IN_FLIGHT));
         assertTrue(first.end() <= second.start() && second.end() <= request.end());
         assertTrue(second.events().get(SpanAttributes.WRITTEN) >= second.start());
-        // The nodes were told the very spans, and the second one to keep its part.
+        // The upstreams got the ids of these spans, and the second one was told to sample.
         assertEquals(
                 "00-" + request.trace() + "-" + first.span() + "-00",
                 broken.next().header("traceparent"));
-        Peer.Message told = good.next();
-        assertEquals("00-" + request.trace() + "-" + second.span() + "-01", told.header("traceparent"));
-        assertEquals("app=1", told.header("tracestate"));
+        ScriptedServer.Message forwarded = good.next();
+        assertEquals("00-" + request.trace() + "-" + second.span() + "-01", forwarded.header("traceparent"));
+        assertEquals("app=1", forwarded.header("tracestate"));
     }
 
-    /** The other hard case: the cancel comes after the node has begun, and the node works on. */
+    /** The cancel arrives after the upstream has begun, and the upstream goes on. */
     @Test
-    void aCancelAfterTheNodeStartedShowsThatItRanAllTheSame() throws Exception {
-        BlockingQueue<Peer.Line> held = new LinkedBlockingQueue<>();
-        Peer node = rig.upstream((m, line) -> held.add(line));
-        rig.operator = traces(TROUBLE);
-        rig.start();
-        Peer.Client client = rig.client();
+    void attemptCancelledAfterUpstreamStartedIsTracedAsRun() throws Exception {
+        BlockingQueue<ScriptedServer.Connection> held = new LinkedBlockingQueue<>();
+        ScriptedServer node = harness.addUpstream((m, connection) -> held.add(connection));
+        harness.operator = traces(PROBLEMS_ONLY);
+        harness.start();
+        ScriptedServer.Client client = harness.client();
         client.send(confirm("a1", "key-1", ""));
         node.next();
-        Peer.Line line = held.poll(20, TimeUnit.SECONDS);
+        ScriptedServer.Connection connection = held.poll(20, TimeUnit.SECONDS);
         client.close();
-        rig.await("expired a1");
-        line.answer("200 OK", "", "booked");
+        harness.await("expired a1");
+        connection.respond("200 OK", "", "booked");
         Seen request = request("a1");
         assertEquals("left left", request.text(SpanAttributes.RESULT) + " " + request.text(SpanAttributes.REASONS));
         Seen attempt = attempt(request, 0);
@@ -145,10 +145,11 @@
     }
 
     @Test
-    void whatWasRefusedFailedOrLateIsThereAndWhatIsUsualIsNot() throws Exception {
-        rig.upstream((m, line) -> line.answer(m.path().contains("bad") ? "500 No" : "200 OK", "", "yes"));
-        rig.operator = traces(TROUBLE);
-        rig.onRequest = (nowMicros, r, out) -> {
+    void samplesRejectedFailedAndSlowRequestsOnly() throws Exception {
+        harness.addUpstream(
+                (m, connection) -> connection.respond(m.path().contains("bad") ? "500 No" : "200 OK", "", "yes"));
+        harness.operator = traces(PROBLEMS_ONLY);
+        harness.onRequest = (nowMicros, r, out) -> {
             if (r.id().startsWith("refuse")) {
                 out.reject(r.id(), 165_000);
             } else if (r.id().startsWith("late")) {
@@ -158,16 +159,16 @@
                 out.send(r.id(), "u0", 0);
             }
         };
-        rig.settings = Rig.SETTINGS.replace("300000", "100000");
-        rig.start();
-        try (Peer.Client client = rig.client()) {
-            assertEquals(200, client.send(Rig.get("usual", 20_000)).status());
-            assertEquals(503, client.send(Rig.get("refuse", 20_000)).status());
+        harness.settings = SidecarHarness.SETTINGS.replace("300000", "100000");
+        harness.start();
+        try (ScriptedServer.Client client = harness.client()) {
+            assertEquals(200, client.send(SidecarHarness.get("usual", 20_000)).status());
+            assertEquals(503, client.send(SidecarHarness.get("refuse", 20_000)).status());
             assertEquals(
                     502,
-                    client.send(Rig.get("failed", 20_000).replace("slots", "bad"))
+                    client.send(SidecarHarness.get("failed", 20_000).replace("slots", "bad"))
                             .status());
-            assertEquals(200, client.send(Rig.get("late", 20_000)).status());
+            assertEquals(200, client.send(SidecarHarness.get("late", 20_000)).status());
         }
         Seen refused = request("refuse");
         assertEquals(
@@ -180,13 +181,13 @@
                 .noneMatch(s -> s.text(SpanAttributes.REQUEST_ID).equals("usual")));
     }
 
-    /** An app that knows of no traces tries again by itself: a new id, and the same key. */
+    /** An application without tracing retries by itself, with a new id and the same key. */
     @Test
-    void theClientsOwnRetryJoinsTheTraceOfItsFirstTry() throws Exception {
-        rig.upstream((m, line) -> line.answer("200 OK", "", "yes"));
-        rig.operator = traces(TROUBLE);
-        rig.start();
-        try (Peer.Client client = rig.client()) {
+    void clientRetryJoinsTraceOfItsFirstTry() throws Exception {
+        harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "yes"));
+        harness.operator = traces(PROBLEMS_ONLY);
+        harness.start();
+        try (ScriptedServer.Client client = harness.client()) {
             assertEquals(200, client.send(confirm("a1", "key-1", "")).status());
             assertEquals(
                     200, client.send(confirm("a2", "key-1", "X-Resent: 1\r\n")).status());
@@ -199,73 +200,78 @@
         assertEquals("", second.parent());
     }
 
-    /** A collector that hangs, resets, is busy or refuses costs spans at most: answers neither wait nor change. */
+    /** A collector that hangs, resets, is busy or rejects costs spans at most: requests neither wait nor change. */
     @Test
-    void whateverTheCollectorDoesRequestsGoOn() throws Exception {
-        rig.upstream((m, line) -> line.answer("200 OK", "", "yes"));
-        rig.operator = traces(EVERYTHING);
-        rig.start();
-        try (Peer.Client client = rig.client()) {
+    void failingCollectorDoesNotAffectRequests() throws Exception {
+        harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "yes"));
+        harness.operator = traces(EVERYTHING);
+        harness.start();
+        try (ScriptedServer.Client client = harness.client()) {
             for (Manner how : List.of(Manner.SILENT, Manner.RESETS, Manner.BUSY, Manner.REFUSES)) {
                 collector.be(how);
                 for (int i = 0; i < 300; i++) {
                     assertEquals(
-                            200, client.send(Rig.get(how + "-" + i, 20_000)).status());
+                            200,
+                            client.send(SidecarHarness.get(how + "-" + i, 20_000))
+                                    .status());
                 }
             }
             collector.be(Manner.TAKES);
-            assertEquals(200, client.send(Rig.get("after", 20_000)).status());
+            assertEquals(200, client.send(SidecarHarness.get("after", 20_000)).status());
         }
         request("after");
-        assertTrue(collector.batches() > 1, "it was tried while it failed");
-        // The shelf holds a hundred: what matters as much and is older gave way.
+        assertTrue(collector.batches() > 1, "the exporter did not retry while the collector failed");
+        // The buffer holds a hundred spans: older ones of the same priority were dropped.
         assertTrue(
                 collector.seen().size() < 2 * 500,
-                "more than was held came: " + collector.seen().size());
+                "more spans were exported than the buffer holds: "
+                        + collector.seen().size());
     }
 
-    /** Told on SIGHUP: on, otherwise, and off, with requests under way. */
+    /** A reload turns tracing on, changes it, and turns it off, with requests in progress. */
     @Test
-    void itIsTurnedOnAndOffWhileServing() throws Exception {
-        Peer node = rig.upstream((m, line) -> line.answer("200 OK", "", "yes"));
-        rig.start();
-        try (Peer.Client client = rig.client()) {
-            // Off: what a client says of traces is neither read nor passed on, as before there were any.
-            assertNull(ask(client, node, "a1"));
-            rig.operator = traces(EVERYTHING);
-            rig.reload(rig.discovery.address());
+    void reloadTurnsTracingOnAndOff() throws Exception {
+        ScriptedServer node = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "yes"));
+        harness.start();
+        try (ScriptedServer.Client client = harness.client()) {
+            // With tracing off, a client's trace headers are neither read nor passed on.
+            assertNull(sendAndReadParent(client, node, "a1"));
+            harness.operator = traces(EVERYTHING);
+            harness.reload(harness.discovery.address());
             String parent = null;
-            // It is made ready beside the loop, which takes it when it is there.
+            // The tracing library is loaded on another thread, and the event loop installs it afterwards.
             for (int i = 0; parent == null; i++) {
-                parent = ask(client, node, "b" + i);
+                parent = sendAndReadParent(client, node, "b" + i);
             }
             assertEquals("4bf92f3577b34da6a3ce929d0e0e4736", parent.substring(3, 35));
-            ask(client, node, "a2");
-            rig.operator = OperatorConfiguration.NONE;
-            rig.reload(rig.discovery.address());
+            sendAndReadParent(client, node, "a2");
+            harness.operator = OperatorConfiguration.NONE;
+            harness.reload(harness.discovery.address());
             for (int i = 0; parent != null; i++) {
-                parent = ask(client, node, "c" + i);
+                parent = sendAndReadParent(client, node, "c" + i);
             }
         }
-        // What was kept before it was turned off is handed on.
+        // Spans that were kept before tracing was turned off are still exported.
         request("a2");
     }
 
-    /** What its node was told. */
-    private static String ask(Peer.Client client, Peer node, String id) throws Exception {
+    /** Sends a request; returns the traceparent header that the upstream got. */
+    private static String sendAndReadParent(ScriptedServer.Client client, ScriptedServer node, String id)
+            throws Exception {
         assertEquals(
                 200,
-                client.send(Rig.get(id, 20_000).replace("\r\n\r\n", "\r\ntraceparent: " + PARENT + "\r\n\r\n"))
+                client.send(SidecarHarness.get(id, 20_000)
+                                .replace("\r\n\r\n", "\r\ntraceparent: " + PARENT + "\r\n\r\n"))
                         .status());
         return node.next().header("traceparent");
     }
 
     @Test
-    void whatIsNoTraceBeginsANewOne() throws Exception {
-        Peer node = rig.upstream((m, line) -> line.answer("200 OK", "", "yes"));
-        rig.operator = traces(EVERYTHING);
-        rig.start();
-        try (Peer.Client client = rig.client()) {
+    void invalidTraceHeadersStartNewTrace() throws Exception {
+        ScriptedServer node = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "yes"));
+        harness.operator = traces(EVERYTHING);
+        harness.start();
+        try (ScriptedServer.Client client = harness.client()) {
             for (String bad : List.of(
                     "traceparent: nonsense\r\n",
                     "traceparent: " + PARENT + "\r\ntraceparent: " + PARENT + "\r\n",
@@ -274,13 +280,13 @@
                 String id = "a" + bad.hashCode();
                 assertEquals(
                         200,
-                        client.send(Rig.get(id, 20_000).replace("\r\n\r\n", "\r\n" + bad + "\r\n"))
+                        client.send(SidecarHarness.get(id, 20_000).replace("\r\n\r\n", "\r\n" + bad + "\r\n"))
                                 .status());
-                Peer.Message told = node.next();
+                ScriptedServer.Message forwarded = node.next();
                 assertNotEquals(
                         "4bf92f3577b34da6a3ce929d0e0e4736",
-                        told.header("traceparent").substring(3, 35));
-                assertEquals("ot=th:0", told.header("tracestate"));
+                        forwarded.header("traceparent").substring(3, 35));
+                assertEquals("ot=th:0", forwarded.header("tracestate"));
                 assertEquals("", request(id).parent());
             }
         }
--- a/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections and the list: everything here happens on one event loop, as in the program. */
+/** Connection pools and the endpoint list; all on one event loop, as in a sidecar. */
 @Timeout(60)
 class UpstreamsTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -38,14 +38,14 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private Upstreams upstreams(long idleUs, int maxConnections) throws Exception {
-        return loop.submit(() -> new Upstreams(loop, clock, idleUs, 2_000_000, 20_000, maxConnections))
+    private Upstreams upstreams(long idleMicros, int maxConnections) throws Exception {
+        return loop.submit(() -> new Upstreams(loop, clock, idleMicros, 2_000_000, 20_000, maxConnections))
                 .get();
     }
 
-    private static EndpointList list(boolean whole, String... entries) {
+    private static EndpointList list(boolean complete, String... entries) {
         return DiscoveryListFormat.read(
-                JsonObject.parse(Rig.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)),
+                JsonObject.parse(SidecarHarness.list(1, complete, entries).getBytes(StandardCharsets.UTF_8)),
                 ListSource.DISCOVERY,
                 0);
     }
@@ -67,21 +67,23 @@
     }
 
     /**
-     * A connection that comes up after its upstream drained, went or restarted must carry nothing. The change
-     * falls into the same turn of the loop as the call, so that the connection can't be up before it.
+     * A connection that is established after its upstream drained, was removed or restarted must carry no request. The
+     * list change and the call happen in the same iteration of the event loop, so that the connection can't be
+     * established before the change.
      */
     @Test
-    void nothingIsSentToAnUpstreamThatChangedWhileItsConnectionCameUp() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
-                Peer moved = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+    void sendsNothingToUpstreamThatChangedDuringConnect() throws Exception {
+        try (ScriptedServer up = new ScriptedServer((m, connection) -> connection.respond("200 OK", "", "sent"));
+                ScriptedServer moved =
+                        new ScriptedServer((m, connection) -> connection.respond("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 100);
-            EndpointList ready = list(true, Rig.entry("u", up.address(), "Ready", 0));
+            EndpointList ready = list(true, SidecarHarness.entry("u", up.address(), "Ready", 0));
             for (EndpointList change : new EndpointList[] {
-                list(false, Rig.entry("u", up.address(), "Terminating", 0)),
-                list(false, Rig.entry("u", up.address(), "Gone", 0)),
-                list(false, Rig.entry("u", up.address(), "Ready", 5_000_000)),
-                list(false, Rig.entry("u", moved.address(), "Ready", 0)),
-                list(true, Rig.entry("other", moved.address(), "Ready", 0))
+                list(false, SidecarHarness.entry("u", up.address(), "Terminating", 0)),
+                list(false, SidecarHarness.entry("u", up.address(), "Gone", 0)),
+                list(false, SidecarHarness.entry("u", up.address(), "Ready", 5_000_000)),
+                list(false, SidecarHarness.entry("u", moved.address(), "Ready", 0)),
+                list(true, SidecarHarness.entry("other", moved.address(), "Ready", 0))
             }) {
                 loop.execute(() -> {
                     update(upstreams, ready);
@@ -90,18 +92,18 @@
                 });
                 assertEquals("u NOT_SENT", outcome());
             }
-            assertTrue(up.messages.isEmpty() && moved.messages.isEmpty(), "a request was sent all the same");
+            assertTrue(up.messages.isEmpty() && moved.messages.isEmpty(), "a request was sent to the changed upstream");
         }
     }
 
-    /** The same upstream named again, as in every whole list, is no change: its connections stay. */
+    /** A complete list with the same upstream is no change: its connections stay open. */
     @Test
-    void aListThatSaysTheSameKeepsTheConnections() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+    void keepsConnectionsWhenListIsUnchanged() throws Exception {
+        try (ScriptedServer up = new ScriptedServer((m, connection) -> connection.respond("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
-                    update(upstreams, list(true, Rig.entry("u", up.address(), "Ready", 0)));
+                    update(upstreams, list(true, SidecarHarness.entry("u", up.address(), "Ready", 0)));
                     call(upstreams, "u").start();
                 });
                 assertEquals("u OK", outcome());
@@ -111,44 +113,44 @@
     }
 
     /**
-     * A drain and a call in one turn of the loop, in either order: a call after it gets no connection that rests, one
-     * before it is served.
+     * A drain and a call in one iteration of the event loop: a call after the drain gets no idle connection, one before
+     * it is served.
      */
     @Test
-    void aDrainAndACallInOneTurnNeedNoNewConnection() throws Exception {
+    void ordersDrainAndCallInOneLoopIteration() throws Exception {
         for (boolean drainFirst : new boolean[] {true, false}) {
-            try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+            try (ScriptedServer up = new ScriptedServer((m, connection) -> connection.respond("200 OK", "", "sent"))) {
                 Upstreams upstreams = upstreams(15_000_000, 100);
                 loop.execute(() -> {
-                    update(upstreams, list(true, Rig.entry("u", up.address(), "Ready", 0)));
+                    update(upstreams, list(true, SidecarHarness.entry("u", up.address(), "Ready", 0)));
                     call(upstreams, "u").start();
                 });
                 assertEquals("u OK", outcome());
                 loop.execute(() -> {
-                    Runnable drain =
-                            () -> update(upstreams, list(false, Rig.entry("u", up.address(), "Terminating", 0)));
+                    Runnable drain = () ->
+                            update(upstreams, list(false, SidecarHarness.entry("u", up.address(), "Terminating", 0)));
                     Runnable ask = () -> call(upstreams, "u").start();
                     (drainFirst ? drain : ask).run();
                     (drainFirst ? ask : drain).run();
                 });
                 assertEquals(drainFirst ? "u NOT_SENT" : "u OK", outcome());
-                // Nothing rests there any more.
+                // No idle connection is left.
                 up.next();
                 if (!drainFirst) {
                     up.next();
                 }
                 assertEquals(-1, up.accepted.take().getInputStream().read());
-                assertTrue(up.messages.isEmpty(), "something was sent after the drain");
+                assertTrue(up.messages.isEmpty(), "a request was sent after the drain");
             }
         }
     }
 
-    /** An upstream drops idle connections unseen; a request written to one from then on would end as a reset. */
+    /** Upstreams close idle connections without notice; a request written to one after that would end as a reset. */
     @Test
-    void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+    void closesIdleConnectionsBeforeUpstreamDoes() throws Exception {
+        try (ScriptedServer up = new ScriptedServer((m, connection) -> connection.respond("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(1, 100);
-            loop.execute(() -> update(upstreams, list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> update(upstreams, list(true, SidecarHarness.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 2; i++) {
                 loop.execute(() -> call(upstreams, "u").start());
                 assertEquals("u OK", outcome());
@@ -158,18 +160,20 @@
         }
     }
 
-    /** Descriptors are few: at the cap an idle connection elsewhere makes room, and without one nothing is sent. */
+    /**
+     * At the limit an idle connection to another upstream is closed to make room; without one the request is not sent.
+     */
     @Test
-    void connectionsStayWithinTheirCap() throws Exception {
-        try (Peer a = new Peer((m, line) -> line.answer("200 OK", "", ""));
-                Peer silent = new Peer((m, line) -> {})) {
+    void keepsConnectionsWithinLimit() throws Exception {
+        try (ScriptedServer a = new ScriptedServer((m, connection) -> connection.respond("200 OK", "", ""));
+                ScriptedServer silent = new ScriptedServer((m, connection) -> {})) {
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> update(
                     upstreams,
                     list(
                             true,
-                            Rig.entry("a", a.address(), "Ready", 0),
-                            Rig.entry("silent", silent.address(), "Ready", 0))));
+                            SidecarHarness.entry("a", a.address(), "Ready", 0),
+                            SidecarHarness.entry("silent", silent.address(), "Ready", 0))));
             loop.execute(() -> call(upstreams, "a").start());
             assertEquals("a OK", outcome());
             loop.execute(() -> call(upstreams, "silent").start());
@@ -180,15 +184,22 @@
         }
     }
 
-    /** What never came up holds no place: otherwise a crashed upstream would use up the cap by and by. */
+    /**
+     * A connection that was never established must not count towards the limit; otherwise a crashed upstream would use
+     * it up.
+     */
     @Test
-    void connectionsThatFailFreeTheirPlace() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""))) {
+    void failedConnectionsDoNotCountTowardsLimit() throws Exception {
+        try (ScriptedServer up =
+                new ScriptedServer((m, connection) -> connection.respond("200 OK", "Connection: close\r\n", ""))) {
             String gone = "127.0.0.1:" + ClosedPort.hold(0).getPort();
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> update(
                     upstreams,
-                    list(true, Rig.entry("u", up.address(), "Ready", 0), Rig.entry("gone", gone, "Ready", 0))));
+                    list(
+                            true,
+                            SidecarHarness.entry("u", up.address(), "Ready", 0),
+                            SidecarHarness.entry("gone", gone, "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> call(upstreams, "gone").start());
                 assertEquals("gone CONNECT_FAILED", outcome());
@@ -199,14 +210,17 @@
         }
     }
 
-    /** Upstreams are replaced under ever new ids; what is gone must not be kept for ever, also among changes. */
+    /**
+     * Upstreams are replaced under new ids all the time; removed ones must not be kept, even if they are removed by a
+     * list of changes.
+     */
     @Test
-    void whatIsGoneIsForgotten() throws Exception {
+    void forgetsRemovedUpstreams() throws Exception {
         Upstreams upstreams = upstreams(15_000_000, 100);
         int kept = loop.submit(() -> {
                     for (int i = 0; i < 50; i++) {
-                        update(upstreams, list(false, Rig.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
-                        update(upstreams, list(false, Rig.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
+                        update(upstreams, list(false, SidecarHarness.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
+                        update(upstreams, list(false, SidecarHarness.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
                     }
                     return upstreams.upstreamCount();
                 })
@@ -214,15 +228,15 @@
         assertEquals(0, kept);
     }
 
-    /** A connection that the upstream closed while it rested must cost the next call nothing. */
+    /** A connection that the upstream closed while it was idle must not fail the next call. */
     @Test
-    void aConnectionClosedWhileItRestedIsPassedOver() throws Exception {
-        try (Peer up = new Peer((m, line) -> {
-            line.answer("200 OK", "", "sent");
-            line.socket().close();
+    void skipsIdleConnectionThatUpstreamClosed() throws Exception {
+        try (ScriptedServer up = new ScriptedServer((m, connection) -> {
+            connection.respond("200 OK", "", "sent");
+            connection.socket().close();
         })) {
             Upstreams upstreams = upstreams(15_000_000, 100);
-            loop.execute(() -> update(upstreams, list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> update(upstreams, list(true, SidecarHarness.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 5; i++) {
                 loop.execute(() -> call(upstreams, "u").start());
                 assertEquals("u OK", outcome());
--- a/src/test/java/loadbalancer/sidecar/RehearsalTest.java
+++ b/src/test/java/loadbalancer/sidecar/WarmUpTest.java
@@ -13,13 +13,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Code that has never run is slow: full traffic must not be what warms it up, and must not wait for it either. */
+/**
+ * Code that has never run is slow: the warm-up must run it before full traffic does, but a real request must not wait
+ * for the warm-up.
+ */
 @Timeout(60)
-class RehearsalTest {
+class WarmUpTest {
     @Test
-    void itPlaysRequestsThroughTheModuleAndTheSockets() throws Exception {
+    void warmUpSendsRequestsThroughBalancerAndSockets() throws Exception {
         AtomicInteger served = new AtomicInteger();
-        CountDownLatch many = new CountDownLatch(1);
+        CountDownLatch tenServed = new CountDownLatch(1);
         Engine.BalancerFactory counting = (settings, others, seed, nowMicros, actions) -> {
             Balancer policy = new HaloBalancer(
                     settings, loadbalancer.balancing.RoutingConstraints.NONE, others, seed, nowMicros, actions);
@@ -28,36 +31,36 @@
                         if (method.getName().equals("onOutcome")
                                 && arguments[4] == Outcome.OK
                                 && served.incrementAndGet() >= 10) {
-                            many.countDown();
+                            tenServed.countDown();
                         }
                         return method.invoke(policy, arguments);
                     });
         };
         WarmUp warmUp = new WarmUp(
-                Rig.config("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\","
-                        + "\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":" + Rig.list(1, true)
+                SidecarHarness.config("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\","
+                        + "\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":" + SidecarHarness.list(1, true)
                         + ",\"settings\":"
-                        + Rig.SETTINGS + "}"),
+                        + SidecarHarness.SETTINGS + "}"),
                 counting);
         warmUp.run();
-        assertTrue(many.await(0, TimeUnit.SECONDS), served + " were served");
+        assertTrue(tenServed.await(0, TimeUnit.SECONDS), served + " requests were served");
     }
 
     @Test
-    void untilItIsOverTheSidecarIsNotReadyButARequestIsServedAndEndsIt() throws Exception {
-        CountDownLatch cut = new CountDownLatch(1);
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.rehearsal = cut::countDown;
-            rig.start();
-            try (Peer.Client client = rig.client()) {
+    void duringWarmUpSidecarIsNotReadyAndRequestAbortsWarmUp() throws Exception {
+        CountDownLatch aborted = new CountDownLatch(1);
+        try (SidecarHarness harness = new SidecarHarness()) {
+            harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
+            harness.onWarmUpRequest = aborted::countDown;
+            harness.start();
+            try (ScriptedServer.Client client = harness.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.status());
-                assertEquals(1, cut.getCount());
-                client.send(Rig.get("a1", 20_000));
+                assertEquals(1, aborted.getCount());
+                client.send(SidecarHarness.get("a1", 20_000));
                 assertEquals(200, client.status());
-                assertTrue(cut.await(20, TimeUnit.SECONDS));
-                rig.sidecar.endWarmUp();
+                assertTrue(aborted.await(20, TimeUnit.SECONDS));
+                harness.sidecar.endWarmUp();
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(200, client.status());
             }
