--- a/src/main/java/loadbalancer/sidecar/Engine.java
+++ b/src/main/java/loadbalancer/sidecar/Engine.java
@@ -66,8 +66,8 @@
 
     /** Creates the balancer, which may act from its constructor on. */
     public interface BalancerFactory {
-        /** {@code others} is the load that peers report; time is in microseconds. */
-        Balancer create(Settings settings, PeerLoad others, long seed, long nowMicros, Balancer.Actions actions);
+        /** {@code peerLoad} is the load that peers report; time is in microseconds. */
+        Balancer create(Settings settings, PeerLoad peerLoad, long seed, long nowMicros, Balancer.Actions actions);
     }
 
     private final Timers timers;
@@ -131,16 +131,16 @@
             OperatorConfiguration operator,
             BiFunction<RoutingConstraints, Settings, RoutingConstraints> addConstraints) {
         return operator.zones() == null
-                ? (s, others, seed, nowMicros, actions) -> new HaloBalancer(
-                        s, addConstraints.apply(RoutingConstraints.NONE, s), others, seed, nowMicros, actions)
-                : (s, others, seed, nowMicros, actions) -> new ZoneAwareBalancer(
+                ? (s, peerLoad, seed, nowMicros, actions) -> new HaloBalancer(
+                        s, addConstraints.apply(RoutingConstraints.NONE, s), peerLoad, seed, nowMicros, actions)
+                : (s, peerLoad, seed, nowMicros, actions) -> new ZoneAwareBalancer(
                         operator.zones(),
                         s,
                         seed ^ 0x7a6f6e6573L,
                         nowMicros,
                         actions,
                         (constraints, balancerActions) -> new HaloBalancer(
-                                s, addConstraints.apply(constraints, s), others, seed, nowMicros, balancerActions));
+                                s, addConstraints.apply(constraints, s), peerLoad, seed, nowMicros, balancerActions));
     }
 
     /**
@@ -152,14 +152,16 @@
      */
     public void start(
             List<EndpointList> lists,
-            DiscoveryClient calls,
+            DiscoveryClient discoveryClient,
             boolean assessListAge,
             long spreadMicros,
             BalancerFactory balancerFactory) {
         firstPollMicros = spreadMicros == 0 ? 0 : clock.nowMicros() + new SplittableRandom(seed).nextLong(spreadMicros);
         if (operator.subset() != null) {
-            int nodes = lists.stream().mapToInt(l -> l.endpoints().size()).max().orElse(0);
-            int sidecarsPerUpstream = Subset.sidecarsPerUpstream(operator.subset(), settings.sidecarCount(), nodes);
+            int upstreamCount =
+                    lists.stream().mapToInt(l -> l.endpoints().size()).max().orElse(0);
+            int sidecarsPerUpstream =
+                    Subset.sidecarsPerUpstream(operator.subset(), settings.sidecarCount(), upstreamCount);
             balancerSettings = settings.withSidecarCount(sidecarsPerUpstream);
             endpoints.useSubset(
                     new Subset(operator.subset(), settings.sidecarIndex(), settings.sidecarCount(), clock.nowMicros()));
@@ -174,13 +176,13 @@
             agreedConfiguration = new AgreedConfiguration(timers, clock, settings.zones(), source, this::applyPolicy);
         }
         List<Balancer.Upstream> initialUpstreams = endpoints.start(lists);
-        DiscoveryWatch.Options watch = new DiscoveryWatch.Options(
+        DiscoveryWatch.Options watchOptions = new DiscoveryWatch.Options(
                 endpoints.generation(),
                 settings.rules().discoveryPollMicros(),
                 !settings.pollsDiscovery(),
                 assessListAge,
                 seed);
-        discovery = new DiscoveryWatch(timers, clock, endpoints, calls, watch);
+        discovery = new DiscoveryWatch(timers, clock, endpoints, discoveryClient, watchOptions);
         decisions.start(
                 actions -> {
                     balancer = balancerFactory.create(
@@ -269,9 +271,10 @@
      * former ones, a request gets no more attempts than both the former and the new limits allow.
      */
     public void reload(Settings next) {
-        int before = settings.limits().maxAttempts();
+        int formerMaxAttempts = settings.limits().maxAttempts();
         next.classes().forEach(requestClass -> metrics.addClass(requestClass.name()));
-        Settings applied = applySettings(next, Math.min(before, next.limits().maxAttempts()));
+        Settings applied =
+                applySettings(next, Math.min(formerMaxAttempts, next.limits().maxAttempts()));
         timers.schedule(RequestClasses.TRANSITION_MICROS, () -> {
             if (settings == applied) {
                 applySettings(next, next.limits().maxAttempts());
--- a/src/main/java/loadbalancer/sidecar/Sidecar.java
+++ b/src/main/java/loadbalancer/sidecar/Sidecar.java
@@ -42,7 +42,7 @@
     private static final long MIN_STALL_MICROS = 10_000;
 
     /** Upper bound on the time a restarted sidecar waits to learn the agreed configuration before it reports ready. */
-    private static final long LEARN_MILLIS = 2_000;
+    private static final long MAX_LEARN_WAIT_MILLIS = 2_000;
 
     private final MultiThreadIoEventLoopGroup group = EventLoops.single();
     private final EventLoop loop = group.next();
@@ -250,14 +250,17 @@
                 .sync();
     }
 
-    /** Waits at most {@link #LEARN_MILLIS}, so that an unreachable fleet or control tier doesn't prevent the start. */
+    /**
+     * Waits at most {@link #MAX_LEARN_WAIT_MILLIS}, so that an unreachable fleet or control tier doesn't prevent the
+     * start.
+     */
     private void awaitAgreedConfiguration() throws InterruptedException {
         if (engine.agreedConfiguration() == null) {
             return;
         }
         CountDownLatch learned = new CountDownLatch(1);
         loop.execute(() -> engine.agreedConfiguration().onceLearned(learned::countDown));
-        if (!learned.await(LEARN_MILLIS, TimeUnit.MILLISECONDS)) {
+        if (!learned.await(MAX_LEARN_WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
             Log.event("policy.careful", "has not learned the active policy: applies the operator's file until it does");
         }
     }
--- a/src/main/java/loadbalancer/sidecar/SidecarMain.java
+++ b/src/main/java/loadbalancer/sidecar/SidecarMain.java
@@ -53,7 +53,7 @@
             config = SidecarConfig.read(environment);
             operator = operatorReader.read();
         } catch (SidecarConfig.InvalidConfigException | ConfigurationException exception) {
-            return refused(exception.getMessage());
+            return rejectStart(exception.getMessage());
         }
         Log.setJsonOutput(operator.jsonLog());
         Handover handover = Handover.forEnvironment(environment, config);
@@ -61,7 +61,7 @@
                 ? Optional.empty()
                 : consensusConflict(operator.consensus(), config, handover);
         if (conflict.isPresent()) {
-            return refused("operator's file: [consensus] " + conflict.get());
+            return rejectStart("operator's file: [consensus] " + conflict.get());
         }
         Sidecar sidecar;
         try {
@@ -72,7 +72,7 @@
                     handover);
         } catch (IllegalArgumentException exception) {
             // Each file is valid by itself; together they are not.
-            return refused("operator's file: " + exception.getMessage());
+            return rejectStart("operator's file: " + exception.getMessage());
         }
         return serve(sidecar, config, operator);
     }
@@ -85,7 +85,7 @@
         try {
             sidecar.start();
         } catch (Exception exception) { // Netty throws checked exceptions that it doesn't declare.
-            return startFailed(exception);
+            return reportStartFailure(exception);
         }
         shutdownHook.sidecarStarted();
         if (sidecar.listenAddress() != null) {
@@ -102,7 +102,7 @@
         try {
             sidecar.endWarmUp();
         } catch (Exception exception) { // Netty's checked exceptions, as above.
-            return startFailed(exception);
+            return reportStartFailure(exception);
         }
         logReady((System.nanoTime() - startNanos) / 1_000_000, cpuMillis, CpuTime.usedMillis());
         new CountDownLatch(1).await();
@@ -136,14 +136,14 @@
         return Optional.empty();
     }
 
-    private int refused(String reason) {
+    private int rejectStart(String reason) {
         Log.event("start.refused", reason);
         return shutdownHook.startFailed(EXIT_CONFIGURATION);
     }
 
-    private int startFailed(Exception exception) {
+    private int reportStartFailure(Exception exception) {
         if (exception instanceof BindException) {
-            return refused("an address can't be listened on: " + exception.getMessage());
+            return rejectStart("an address can't be listened on: " + exception.getMessage());
         }
         Log.event("start.failed", "can't start: " + exception);
         return shutdownHook.startFailed(EXIT_START_FAILED);
--- a/src/main/java/loadbalancer/sidecar/WarmUp.java
+++ b/src/main/java/loadbalancer/sidecar/WarmUp.java
@@ -75,19 +75,19 @@
 
     /** Returns after enough requests, or early on a failure: without warm-up a sidecar only starts slower. */
     void run() {
-        Sidecar second = null;
+        Sidecar warmUpSidecar = null;
         try (LoopbackPeers peers = new LoopbackPeers()) {
-            second = new Sidecar(
+            warmUpSidecar = new Sidecar(
                     config.forWarmUp(peers.bindAddress, peers.address(), endpointList(peers.address())),
                     OperatorConfiguration.NONE,
                     balancerFactory);
-            second.start();
-            peers.run(second.listenAddress());
+            warmUpSidecar.start();
+            peers.run(warmUpSidecar.listenAddress());
         } catch (Exception exception) {
             Log.fault("warm-up failed", exception);
         } finally {
-            if (second != null) {
-                second.shutdownNow();
+            if (warmUpSidecar != null) {
+                warmUpSidecar.shutdownNow();
             }
         }
     }
@@ -120,7 +120,7 @@
         return request;
     }
 
-    private static FullHttpResponse response(boolean last) {
+    private static FullHttpResponse response(boolean closesConnection) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.OK,
@@ -128,7 +128,7 @@
         response.headers()
                 .set(HttpHeaderNames.CONTENT_LENGTH, LOAD_REPORT.length())
                 .set(HeaderNames.LOAD_REPORT, LOAD_REPORT);
-        if (last) {
+        if (closesConnection) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         return response;
@@ -201,8 +201,10 @@
                 connect();
             }
             long endNanos = System.nanoTime() + MAX_DURATION_MILLIS * 1_000_000;
-            for (long left;
-                    !interrupted && receivedResponses < REQUESTS && (left = endNanos - System.nanoTime()) > 0; ) {
+            for (long remainingNanos;
+                    !interrupted
+                            && receivedResponses < REQUESTS
+                            && (remainingNanos = endNanos - System.nanoTime()) > 0; ) {
                 selector.select(
                         key -> {
                             try {
@@ -211,7 +213,7 @@
                                 key.cancel();
                             }
                         },
-                        Math.min(20, left / 1_000_000 + 1));
+                        Math.min(20, remainingNanos / 1_000_000 + 1));
             }
         }
 
--- a/src/test/java/loadbalancer/sidecar/BadInputTest.java
+++ b/src/test/java/loadbalancer/sidecar/BadInputTest.java
@@ -53,13 +53,13 @@
         try (SidecarHarness harness = new SidecarHarness()) {
             harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
             harness.start();
-            for (Map.Entry<String, Integer> c : cases.entrySet()) {
+            for (Map.Entry<String, Integer> testCase : cases.entrySet()) {
                 try (ScriptedServer.Client client = harness.client()) {
-                    client.send(c.getKey());
+                    client.send(testCase.getKey());
                     assertEquals(
-                            c.getValue(),
+                            testCase.getValue(),
                             client.status(),
-                            c.getKey().lines().limit(9).toList().toString());
+                            testCase.getKey().lines().limit(9).toList().toString());
                 }
             }
         }
@@ -71,28 +71,28 @@
      */
     @Test
     void rejectsRequestSmugglingAndClosesConnection() throws Exception {
-        String hidden = SidecarHarness.get("hidden", 9000);
+        String smuggled = SidecarHarness.get("hidden", 9000);
         String head = "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k1\r\n";
         String chunked = "Transfer-Encoding: chunked\r\n";
         Map<String, Integer> cases = new LinkedHashMap<>();
-        cases.put(head + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 4\r\n" + chunked + "\r\n0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Transfer-Encoding: identity\r\n\r\n" + hidden, 400);
-        cases.put(head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 4\r\nContent-Length: 0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: -1\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 0x10\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 67108865\r\n\r\n" + hidden, 413);
-        cases.put(head + chunked + "\r\nzz\r\n" + hidden, 400);
-        cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + hidden, 400);
+        cases.put(head + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 4\r\n" + chunked + "\r\n0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Transfer-Encoding: identity\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 4\r\nContent-Length: 0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: -1\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 0x10\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 67108865\r\n\r\n" + smuggled, 413);
+        cases.put(head + chunked + "\r\nzz\r\n" + smuggled, 400);
+        cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + smuggled, 400);
         try (SidecarHarness harness = new SidecarHarness()) {
             ScriptedServer up = harness.addUpstream((m, connection) -> connection.respond("200 OK", "", "ok"));
             harness.start();
-            for (Map.Entry<String, Integer> c : cases.entrySet()) {
+            for (Map.Entry<String, Integer> testCase : cases.entrySet()) {
                 try (ScriptedServer.Client client = harness.client()) {
-                    client.send(c.getKey());
-                    assertEquals(c.getValue(), client.status(), c.getKey());
-                    assertTrue(client.awaitClose(), c.getKey());
+                    client.send(testCase.getKey());
+                    assertEquals(testCase.getValue(), client.status(), testCase.getKey());
+                    assertTrue(client.awaitClose(), testCase.getKey());
                 }
             }
             assertTrue(up.messages.isEmpty(), "a smuggled request was forwarded");
--- a/src/test/java/loadbalancer/sidecar/GossipSocketTest.java
+++ b/src/test/java/loadbalancer/sidecar/GossipSocketTest.java
@@ -20,11 +20,11 @@
     @Test
     void receivesOnlyFromPeersAndUpTo256Bytes() throws Exception {
         try (DatagramSocket peer = socket();
-                DatagramSocket stranger = socket();
-                DatagramSocket everyone = socket();
+                DatagramSocket unknownSender = socket();
+                DatagramSocket broadcast = socket();
                 SidecarHarness harness = new SidecarHarness()) {
             harness.extraConfigFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
-                    + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
+                    + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + broadcast.getLocalPort() + "\",";
             harness.onRequest = (nowMicros, r, out) -> {
                 out.gossip(1, new byte[5]);
                 out.gossip(7, new byte[5]);
@@ -46,10 +46,10 @@
             peer.receive(got);
             assertEquals(256, got.getLength());
             got.setLength(1000);
-            everyone.receive(got);
+            broadcast.receive(got);
             assertEquals(7, got.getLength());
 
-            stranger.send(new DatagramPacket(new byte[3], 3, sidecar));
+            unknownSender.send(new DatagramPacket(new byte[3], 3, sidecar));
             peer.send(new DatagramPacket(new byte[257], 257, sidecar));
             peer.send(new DatagramPacket(new byte[0], 0, sidecar));
             peer.send(new DatagramPacket(new byte[256], 256, sidecar));
--- a/src/test/java/loadbalancer/sidecar/OperatorsTest.java
+++ b/src/test/java/loadbalancer/sidecar/OperatorsTest.java
@@ -175,13 +175,16 @@
                 silent.add(new ScriptedServer.Client(harness.sidecar.adminAddress()).send("GET /control/re"));
             }
             assertEquals(200, status(call(harness, "GET", "/control/counters")));
-            for (String[] wrong : new String[][] {
+            for (String[] invalidCall : new String[][] {
                 {"GET", "/", "404"},
                 {"DELETE", "/control/ready", "405"},
                 {"GET", "/" + "x".repeat(5_000), "431"},
                 {"POST", "/control/upstreams/%zz/offline", "400"}
             }) {
-                assertEquals(Integer.parseInt(wrong[2]), status(call(harness, wrong[0], wrong[1])), wrong[1]);
+                assertEquals(
+                        Integer.parseInt(invalidCall[2]),
+                        status(call(harness, invalidCall[0], invalidCall[1])),
+                        invalidCall[1]);
             }
             try (ScriptedServer.Client two = new ScriptedServer.Client(harness.sidecar.adminAddress())) {
                 two.send(
@@ -189,9 +192,9 @@
                 assertEquals(200, two.status());
                 assertTrue(two.awaitClose());
             }
-            try (ScriptedServer.Client noise = new ScriptedServer.Client(harness.sidecar.adminAddress())) {
+            try (ScriptedServer.Client invalid = new ScriptedServer.Client(harness.sidecar.adminAddress())) {
                 assertEquals(
-                        400, noise.send("\u0016\u0003\u0001 nothing\r\n\r\n").status());
+                        400, invalid.send("\u0016\u0003\u0001 nothing\r\n\r\n").status());
             }
             for (ScriptedServer.Client c : silent) {
                 assertTrue(c.awaitClose());
