--- a/src/main/java/loadbalancer/sidecar/ActiveConfiguration.java
+++ b/src/main/java/loadbalancer/sidecar/ActiveConfiguration.java
@@ -112,7 +112,7 @@
         if (engine.agreedConfiguration() != null) {
             Log.event(
                     "reload.later",
-                    "[zones] away and tiers are agreed on: propose a policy instead; other changes in [zones] take effect at the next start");
+                    "[zones] away and tiers are set by the agreed policy: propose a policy instead; other changes in [zones] take effect at the next start");
             return;
         }
         engine.decisions()
--- a/src/main/java/loadbalancer/sidecar/CpuTime.java
+++ b/src/main/java/loadbalancer/sidecar/CpuTime.java
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The same, parsed from the text of a process's {@code /proc/PID/stat}. */
+    /** Parses the CPU time from the text of a process's {@code /proc/PID/stat}; -1 if the text is malformed. */
     public static long usedMillis(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 1).trim().split(" ");
         try {
--- a/src/main/java/loadbalancer/sidecar/EndpointListPersistence.java
+++ b/src/main/java/loadbalancer/sidecar/EndpointListPersistence.java
@@ -70,6 +70,6 @@
             former.close();
             onDone.run();
         };
-        new Thread(end, "list-keeper-end").start();
+        new Thread(end, "endpoint-list-close").start();
     }
 }
--- a/src/main/java/loadbalancer/sidecar/EndpointService.java
+++ b/src/main/java/loadbalancer/sidecar/EndpointService.java
@@ -92,7 +92,7 @@
     /** Starts with the known lists; returns the upstreams for the first list that the balancer gets. */
     public List<Upstream> start(List<EndpointList> lists) {
         EndpointChange change = withinSubset(membership.start(clock.nowMicros(), lists));
-        change.logMessages().forEach(n -> Log.event("membership", n));
+        change.logMessages().forEach(message -> Log.event("membership", message));
         updatePools(change);
         return upstreams(change);
     }
@@ -178,7 +178,7 @@
 
     /** Like {@link #applyOutOfService}, but before the start, when there are no pools or balancer to notify. */
     void restoreOutOfService(OutOfServiceUpstreams.Snapshot snapshot) {
-        membership.restoreOutOfService(snapshot).logMessages().forEach(n -> Log.event("membership", n));
+        membership.restoreOutOfService(snapshot).logMessages().forEach(message -> Log.event("membership", message));
     }
 
     OutOfServiceUpstreams.Snapshot outOfServiceSnapshot() {
@@ -243,7 +243,7 @@
      * polling.
      */
     private void publish(EndpointChange change, EndpointListKind kind) {
-        change.logMessages().forEach(n -> Log.event("membership", n));
+        change.logMessages().forEach(message -> Log.event("membership", message));
         forward(withinSubset(change), subset != null && kind == EndpointListKind.DELTA ? EndpointListKind.FULL : kind);
     }
 
@@ -251,7 +251,7 @@
         if (!change.isEmpty()) {
             updatePools(change);
             List<Upstream> upstreams = upstreams(change);
-            decisions.call(m -> m.onEndpointList(clock.nowMicros(), kind, upstreams), () -> {});
+            decisions.call(b -> b.onEndpointList(clock.nowMicros(), kind, upstreams), () -> {});
         }
     }
 
@@ -275,7 +275,7 @@
     public void onList(EndpointList list, boolean answersPoll) {
         EndpointChange change = membership.onDiscoveryList(clock.nowMicros(), list);
         if (change.isEmpty() && answersPoll) {
-            decisions.call(m -> m.onEndpointList(clock.nowMicros(), EndpointListKind.DELTA, List.of()), () -> {});
+            decisions.call(b -> b.onEndpointList(clock.nowMicros(), EndpointListKind.DELTA, List.of()), () -> {});
         }
         publish(change, change.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
         writeList(!change.isEmpty());
@@ -295,6 +295,6 @@
     @Override
     public void onFailure(Runnable retry) {
         membership.onDiscoveryFailure();
-        decisions.call(m -> m.onEndpointList(clock.nowMicros(), EndpointListKind.FAILED, List.of()), retry);
+        decisions.call(b -> b.onEndpointList(clock.nowMicros(), EndpointListKind.FAILED, List.of()), retry);
     }
 }
--- a/src/main/java/loadbalancer/sidecar/Engine.java
+++ b/src/main/java/loadbalancer/sidecar/Engine.java
@@ -64,7 +64,7 @@
         void closeIdleConnections(String upstream);
     }
 
-    /** Creates the balancer, which may act from its constructor on. */
+    /** Creates the balancer, whose constructor may already call its {@code actions}. */
     public interface BalancerFactory {
         /** {@code peerLoad} is the load that peers report; time is in microseconds. */
         Balancer create(Settings settings, PeerLoad peerLoad, long seed, long nowMicros, Balancer.Actions actions);
@@ -84,9 +84,9 @@
     private final Requests requests;
     private final EndpointService endpoints;
     private Balancer balancer;
-    /** No discovery call before this time, so that a fleet that starts together spreads its calls. */
+    /** Earliest time of the first discovery call; random, so that a fleet that starts together spreads its calls. */
     private long firstPollMicros;
-    /** Null until the start, which knows the generation to continue from. */
+    /** Null until the start, because the generation to continue from is known only then. */
     private DiscoveryWatch discovery;
 
     private GossipService gossip;
@@ -207,8 +207,8 @@
     /** Applies the agreed policy in place of the operator's file; null goes back to the file. */
     private void applyPolicy(PolicyFile.ZonePolicy policy) {
         decisions.call(
-                m -> {
-                    if (m instanceof ZoneAwareBalancer zoneAware) {
+                b -> {
+                    if (b instanceof ZoneAwareBalancer zoneAware) {
                         zoneAware.reload(
                                 clock.nowMicros(),
                                 policy == null ? operator.zones() : policy.applyTo(operator.zones()));
@@ -222,12 +222,15 @@
         return agreedConfiguration;
     }
 
-    private void onEndpointsChanged(boolean whole, List<Endpoint> changed) {
-        network.update(whole, changed);
+    private void onEndpointsChanged(boolean complete, List<Endpoint> changed) {
+        network.update(complete, changed);
         gossip.endpointsChanged();
     }
 
-    /** Starts the discovery watch after {@link #start}; where lists are pushed it continues by itself. */
+    /**
+     * Called after {@link #start}: starts a discovery watch that polls by itself. Any other watch starts with the
+     * balancer's first poll.
+     */
     public void startDiscovery() {
         discovery.start();
     }
@@ -251,7 +254,7 @@
                 ? peer
                 : (balancerSettings.sidecarIndex() + 1 + peer % Math.max(1, balancerSettings.sidecarCount() - 1))
                         % balancerSettings.sidecarCount();
-        decisions.call(m -> m.onGossip(clock.nowMicros(), mappedPeer, message), () -> {});
+        decisions.call(b -> b.onGossip(clock.nowMicros(), mappedPeer, message), () -> {});
     }
 
     public BalancerDispatcher decisions() {
@@ -287,7 +290,7 @@
         settings = settings.reloadedFrom(next, maxAttempts);
         balancerSettings = usesAllUpstreams ? settings : balancerSettings.reloadedFrom(next, maxAttempts);
         requests.setMaxAttempts(maxAttempts);
-        decisions.call(m -> m.onSettings(clock.nowMicros(), balancerSettings), () -> {});
+        decisions.call(b -> b.onSettings(clock.nowMicros(), balancerSettings), () -> {});
         return settings;
     }
 
@@ -361,7 +364,7 @@
                             endpoints.connectionRefused(attempt.upstream());
                         }
                         decisions.call(
-                                m -> m.onHealthCheck(
+                                b -> b.onHealthCheck(
                                         clock.nowMicros(),
                                         upstream,
                                         outcome,
@@ -401,7 +404,7 @@
             timers.schedule(
                     delayMicros,
                     () -> decisions.call(
-                            m -> m.onTimer(clock.nowMicros(), mark), requests::failRequestsWithoutOpenAttempt));
+                            b -> b.onTimer(clock.nowMicros(), mark), requests::failRequestsWithoutOpenAttempt));
         }
 
         @Override
--- a/src/main/java/loadbalancer/sidecar/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/sidecar/EventLoopMonitor.java
@@ -13,7 +13,7 @@
     private static final long PERIOD_MILLIS = 50;
     private static final int PERIODS_PER_REPORT = 200;
 
-    /** More than the margin by which responses precede their deadlines. */
+    /** Minimum lag that is logged: more than the margin by which responses precede their deadlines. */
     private static final long REPORTED_LAG_MICROS = 15_000;
 
     private final EventLoop loop;
--- a/src/main/java/loadbalancer/sidecar/Listeners.java
+++ b/src/main/java/loadbalancer/sidecar/Listeners.java
@@ -70,7 +70,8 @@
     }
 
     /**
-     * Stops accepting requests; those in progress are still answered. Event loop only.
+     * Stops both protocols gracefully; requests in progress are answered. HTTP still accepts connections for as long as
+     * clients may open them, unless another process has taken over. Event loop only.
      *
      * @param handedOver whether another process of this sidecar serves already
      * @param onDone     runs when both protocols have answered all requests
--- a/src/main/java/loadbalancer/sidecar/ShutdownHook.java
+++ b/src/main/java/loadbalancer/sidecar/ShutdownHook.java
@@ -5,7 +5,8 @@
 /**
  * Graceful shutdown on SIGTERM, with exit code 0. Registered before anything else, because an unhandled SIGTERM ends
  * the process with code 143. Before the sidecar exists the process exits at once; during the start it first waits until
- * the start is complete. Then all requests in flight are answered before it exits.
+ * the start is complete. Then the sidecar serves on while clients may still connect, and answers all requests in flight
+ * before the process exits.
  */
 final class ShutdownHook {
     private final Thread hook = new Thread(this::stopGracefully, "ending");
--- a/src/main/java/loadbalancer/sidecar/Sidecar.java
+++ b/src/main/java/loadbalancer/sidecar/Sidecar.java
@@ -80,7 +80,8 @@
         Settings settings = config.settings();
         RequestClasses classes = new RequestClasses(settings.classes());
         int maxConnections = maxConnections(config);
-        // A third of all connections may carry client requests; other clients connect and send nothing.
+        // 5/8 are for clients: enough for requests on a third of all connections, and for clients that connect and
+        // send nothing. The rest is for upstreams.
         int maxClientConnections = maxConnections * 5 / 8;
         Upstreams upstreams = new Upstreams(
                 loop,
@@ -182,9 +183,9 @@
         if (handover != null) {
             handover.start(loop, clock, engine.endpoints());
         }
-        boolean judgesLists = operator.membership() != null;
-        long spreadMicros = judgesLists ? operator.membership().discoverySpreadMicros() : 0;
-        engine.start(lists, discoveryClient, judgesLists, spreadMicros, balancerFactory);
+        boolean assessListAge = operator.membership() != null;
+        long spreadMicros = assessListAge ? operator.membership().discoverySpreadMicros() : 0;
+        engine.start(lists, discoveryClient, assessListAge, spreadMicros, balancerFactory);
     }
 
     EventLoop loop() {
@@ -275,7 +276,10 @@
         loop.execute(configuration::rejected);
     }
 
-    /** {@code stopped} runs when all requests in progress have been answered and all connections are closed. */
+    /**
+     * Stops gracefully. {@code stopped} runs when all requests in progress have been answered, all connections are
+     * closed, the endpoint list is stored, and the last traces are sent or their time is up.
+     */
     void stop(Runnable stopped) {
         boolean handedOver = handover != null && handover.hasSuccessor();
         if (handedOver) {
--- a/src/main/java/loadbalancer/sidecar/WarmUp.java
+++ b/src/main/java/loadbalancer/sidecar/WarmUp.java
@@ -48,7 +48,7 @@
 final class WarmUp {
     /** Enough requests for their code to be compiled at the thresholds of {@code run} in the deploy file. */
     private static final int REQUESTS = 130;
-    /** Few, because a started sidecar meets mostly new connections. */
+    /** Kept low, because a newly started sidecar gets mostly new connections. */
     private static final int REQUESTS_PER_CONNECTION = 4;
     /** One of this many responses closes its connection, so that connecting to upstreams warms up too. */
     private static final int RESPONSES_PER_CLOSE = 8;
@@ -167,7 +167,8 @@
 
     /**
      * Upstreams, discovery and clients on one thread. Messages are recognised by their start and the end of their head,
-     * and not parsed. A discovery watch gets no response, as if the list did not change.
+     * and not parsed. A discovery watch gets no response, as if the list did not change. A selection key's attachment is
+     * true for a client's connection and false for one that the sidecar opened.
      */
     private final class LoopbackPeers implements AutoCloseable {
         private final Selector selector = Selector.open();
