--- a/src/test/java/loadbalancer/sidecar/EndpointCheckTest.java
+++ b/src/test/java/loadbalancer/sidecar/EndpointCheckTest.java
@@ -28,7 +28,7 @@
     private final BlockingQueue<EndpointEvidence> results = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void tearDown() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/loadbalancer/sidecar/IdleTest.java
+++ b/src/test/java/loadbalancer/sidecar/IdleTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long idle connections are kept. An application may abandon each connection after one response and limit the
- * number of connections that it holds: if they are kept for seconds, it can't send. Seen in service: it held 128
- * connections and sent 120 requests a second instead of 250.
+ * Idle connections are kept long only if clients reuse them. An application may abandon each connection after one
+ * response and limit the number of connections that it holds: if they are kept for seconds, it can't send. Seen in
+ * service: it held 128 connections and sent 120 requests a second instead of 250.
  */
 @Timeout(60)
 class IdleTest {
--- a/src/test/java/loadbalancer/sidecar/OutcomesTest.java
+++ b/src/test/java/loadbalancer/sidecar/OutcomesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What an upstream does, and the outcome that the balancer gets. */
+/** Each behaviour of an upstream is reported to the balancer as the right outcome. */
 @Timeout(60)
 class OutcomesTest {
     private static void assertOutcome(String expected, int status, ScriptedServer.Script script) throws Exception {
--- a/src/test/java/loadbalancer/sidecar/RepeatsTest.java
+++ b/src/test/java/loadbalancer/sidecar/RepeatsTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Which requests may be sent a second time, and until when, whatever happens to connections. Uses the production
- * balancer except where noted.
+ * Only requests that did not run, or that may safely run twice, are sent a second time, even if connections break, and
+ * keyed requests only within their idempotency window. Uses the production balancer except where noted.
  */
 @Timeout(60)
 class RepeatsTest {
@@ -55,10 +55,10 @@
         return statuses;
     }
 
-    private static String request(String lane, String id, long remainingMs) {
-        return lane.equals("c")
+    private static String request(String requestClass, String id, long remainingMs) {
+        return requestClass.equals("c")
                 ? SidecarHarness.get(id, remainingMs)
-                : SidecarHarness.post(id, lane, lane.equals("k") ? "key-" + id : null, remainingMs);
+                : SidecarHarness.post(id, requestClass, requestClass.equals("k") ? "key-" + id : null, remainingMs);
     }
 
     /**
@@ -92,7 +92,7 @@
     /** A request that was rejected by the upstream has certainly not run and is retried whatever its class. */
     @Test
     void retriesRequestThatNeverRanEvenIfUnsafe() throws Exception {
-        for (String lane : new String[] {"c", "k", "u"}) {
+        for (String requestClass : new String[] {"c", "k", "u"}) {
             AtomicInteger sent = new AtomicInteger();
             ScriptedServer.Script script = (m, connection) -> {
                 if (sent.incrementAndGet() == 1) {
@@ -101,8 +101,8 @@
                     connection.respond("200 OK", "", "again");
                 }
             };
-            assertEquals(List.of(200), statuses(script, request(lane, "a1", 20_000)), lane);
-            assertEquals(2, sent.get(), lane);
+            assertEquals(List.of(200), statuses(script, request(requestClass, "a1", 20_000)), requestClass);
+            assertEquals(2, sent.get(), requestClass);
         }
     }
 
--- a/src/test/java/loadbalancer/sidecar/SidecarHarness.java
+++ b/src/test/java/loadbalancer/sidecar/SidecarHarness.java
@@ -174,10 +174,10 @@
     }
 
     /** A POST request of the class; without a key where {@code key} is null. */
-    static String post(String id, String lane, String key, long remainingMs) {
+    static String post(String id, String requestClass, String key, long remainingMs) {
         return get(id, remainingMs)
                 .replace("GET", "POST")
-                .replace("X-Lane: c", "X-Lane: " + lane)
+                .replace("X-Lane: c", "X-Lane: " + requestClass)
                 .replace(
                         "\r\n\r\n",
                         (key == null ? "" : "\r\nIdempotency-Key: " + key) + "\r\nContent-Length: 0\r\n\r\n");
--- a/src/test/java/loadbalancer/sidecar/TracesTest.java
+++ b/src/test/java/loadbalancer/sidecar/TracesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests are traced to a collector as they were, whatever the collector does. */
+/** Exported traces match the requests and attempts that took place, and a failing collector affects no request. */
 @Timeout(60)
 class TracesTest {
     private static final String PARENT = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00";
@@ -46,12 +46,12 @@
         collector.close();
     }
 
-    private OperatorConfiguration traces(SamplingOptions how) {
+    private OperatorConfiguration traces(SamplingOptions sampling) {
         return new OperatorConfiguration(
                 null,
                 null,
                 new TraceOptions(
-                        how,
+                        sampling,
                         "test",
                         100,
                         20_000_000,
@@ -62,9 +62,9 @@
                 false);
     }
 
-    private static String confirm(String id, String key, String more) {
+    private static String confirm(String id, String key, String moreHeaders) {
         return "POST /api/confirm HTTP/1.1\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Lane: k\r\nIdempotency-Key: " + key
-                + "\r\nX-Remaining-Ms: 20000\r\nContent-Length: 0\r\n" + more + "\r\n";
+                + "\r\nX-Remaining-Ms: 20000\r\nContent-Length: 0\r\n" + moreHeaders + "\r\n";
     }
 
     private Seen request(String id) throws InterruptedException {
--- a/src/test/java/loadbalancer/sidecar/UpgradeTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpgradeTest.java
@@ -104,9 +104,9 @@
         }
     }
 
-    private static void add(List<String> failures, String what) {
+    private static void add(List<String> failures, String failure) {
         synchronized (failures) {
-            failures.add(what);
+            failures.add(failure);
         }
     }
 
--- a/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/sidecar/UpstreamsTest.java
@@ -34,7 +34,7 @@
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void tearDown() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
