--- a/src/main/java/loadbalancer/sidecar/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/sidecar/EventLoopMonitor.java
@@ -6,14 +6,14 @@
 import loadbalancer.core.Log;
 
 /**
- * Logs when the event loop was late, which makes every response late: the process got too little CPU, was paused, or blocks its
- * loop.
+ * Logs when the event loop was late, which delays every response. Causes are too little CPU, a paused process, or a
+ * task that blocks the loop.
  */
 final class EventLoopMonitor {
     private static final long PERIOD_MILLIS = 50;
     private static final int PERIODS_PER_REPORT = 200;
 
-    /** More than the margin by which responses precede their deadlines. */
+    /** Minimum lag that is logged: more than the margin by which responses precede their deadlines. */
     private static final long REPORTED_LAG_MICROS = 15_000;
 
     private final EventLoop loop;
