--- a/src/main/java/loadbalancer/json/JsonObject.java
+++ b/src/main/java/loadbalancer/json/JsonObject.java
@@ -14,11 +14,14 @@
 import java.util.TreeMap;
 
 /**
- * A JSON object whose fields are read one by one. Each read throws {@link JsonException} where the field is missing or of another
- * type; those that take a default return it where the field is missing or null. Unknown fields are ignored.
+ * A JSON object whose fields are read one by one. Each getter throws {@link JsonException} if the field is missing or
+ * of another type; getters with a default value return it if the field is missing or null. Unknown fields are ignored.
  */
 public final class JsonObject {
-    /** Jackson's streaming parser, which bounds nesting and lengths; its object mapper would slow down each start. */
+    /**
+     * Creates Jackson's streaming parsers, which limit nesting and lengths. Jackson's object mapper would slow down
+     * each start.
+     */
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
     private final Map<?, ?> fields;
@@ -30,22 +33,22 @@
     /**
      * Parses one JSON object in UTF-8.
      *
-     * @throws JsonException where {@code text} is anything else, or something follows the object
+     * @throws JsonException if {@code text} is anything else, or data follows the object
      */
     public static JsonObject parse(byte[] text) {
         try (JsonParser parser = JSON_FACTORY.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new JsonException("no JSON object");
+                throw new JsonException("not a JSON object");
             }
             JsonObject parsed = new JsonObject(object(parser));
             if (parser.nextToken() != null) {
-                throw new JsonException("no JSON object: something follows it");
+                throw new JsonException("not a JSON object: data follows the object");
             }
             return parsed;
         } catch (IOException exception) {
             String reason = String.valueOf(exception.getMessage());
             int end = reason.indexOf('\n');
-            throw new JsonException("no JSON object: " + (end < 0 ? reason : reason.substring(0, end)));
+            throw new JsonException("not a JSON object: " + (end < 0 ? reason : reason.substring(0, end)));
         }
     }
 
@@ -74,11 +77,14 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new JsonException("no JSON object: it ends too soon");
+            default -> throw new JsonException("not a JSON object: input ends too early");
         };
     }
 
-    /** Writes maps, lists, texts, numbers, booleans and nulls as JSON in UTF-8; other values by their {@code toString}. */
+    /**
+     * Writes maps, lists, strings, numbers, booleans and nulls as JSON in UTF-8; other values as the result of
+     * {@code toString()}.
+     */
     public static byte[] write(Map<String, Object> object) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator generator = JSON_FACTORY.createGenerator(bytes)) {
@@ -116,47 +122,47 @@
         }
     }
 
-    /** Whether the field is there and not null. */
+    /** Returns whether the field is present and not null. */
     public boolean has(String name) {
         return fields.get(name) != null;
     }
 
-    /** A field that is a text. */
+    /** Returns a string field. */
     public String string(String name) {
-        return required(name, String.class, "a text");
+        return required(name, String.class, "a string");
     }
 
-    /** A field that is a text, or the default. */
+    /** Returns a string field, or the default value. */
     public String stringOr(String name, String defaultValue) {
         return has(name) ? string(name) : defaultValue;
     }
 
-    /** A field that is a number; a fraction is cut off. */
+    /** Returns a number field as an integer; a fraction is truncated. */
     public long integer(String name) {
         return required(name, Number.class, "a number").longValue();
     }
 
-    /** A field that is a number, or the default; a fraction is cut off. */
+    /** Returns a number field as an integer, or the default value; a fraction is truncated. */
     public long integerOr(String name, long defaultValue) {
         return has(name) ? integer(name) : defaultValue;
     }
 
-    /** A field that is a number, or the default. */
+    /** Returns a number field, or the default value. */
     public double decimalOr(String name, double defaultValue) {
         return has(name) ? required(name, Number.class, "a number").doubleValue() : defaultValue;
     }
 
-    /** A field that is true or false. */
+    /** Returns a boolean field. */
     public boolean flag(String name) {
         return required(name, Boolean.class, "true or false");
     }
 
-    /** A field that is an object. */
+    /** Returns an object field. */
     public JsonObject object(String name) {
         return new JsonObject(required(name, Map.class, "an object"));
     }
 
-    /** A field that is a list of objects. */
+    /** Returns an array field whose elements are objects. */
     public List<JsonObject> objects(String name) {
         return list(name).stream().map(element -> objectIn(name, element)).toList();
     }
@@ -165,15 +171,15 @@
         if (element instanceof Map<?, ?> map) {
             return new JsonObject(map);
         }
-        throw new JsonException("'" + name + "' holds what is no object");
+        throw new JsonException("'" + name + "' has an element that is not an object");
     }
 
-    /** A field that is a list, its values as texts; empty where the field is missing. */
+    /** Returns the elements of an array field as strings; empty if the field is missing or null. */
     public List<String> stringsOrEmpty(String name) {
         return has(name) ? list(name).stream().map(String::valueOf).toList() : List.of();
     }
 
-    /** A field that is a list of numbers. */
+    /** Returns an array field whose elements are numbers. */
     public double[] decimals(String name) {
         return list(name).stream()
                 .mapToDouble(element -> decimalIn(name, element))
@@ -184,16 +190,16 @@
         if (element instanceof Number number) {
             return number.doubleValue();
         }
-        throw new JsonException("'" + name + "' holds what is no number");
+        throw new JsonException("'" + name + "' has an element that is not a number");
     }
 
-    /** The names of all fields, in the order of the text. */
+    /** Returns the names of all fields, in the order of the input. */
     public List<String> fieldNames() {
         return fields.keySet().stream().map(String::valueOf).toList();
     }
 
     private List<?> list(String name) {
-        return required(name, List.class, "a list");
+        return required(name, List.class, "an array");
     }
 
     private <T> T required(String name, Class<T> type, String expected) {
@@ -208,34 +214,35 @@
     }
 
     /**
-     * All values as texts by their paths, such as {@code a.b} or {@code a.0.b}. A list of objects has a {@code count} beside its
-     * elements, a list of other values is one text with commas, and nulls are left out.
+     * Returns all values as strings, keyed by their paths such as {@code a.b} or {@code a.0.b}. An array with objects
+     * has a {@code count} entry beside its elements, any other array is one comma-separated string, and null values are
+     * left out.
      */
     public Map<String, String> flattened() {
-        Map<String, String> textsByPath = new TreeMap<>();
-        flatten("", fields, textsByPath);
-        return textsByPath;
+        Map<String, String> valuesByPath = new TreeMap<>();
+        flatten("", fields, valuesByPath);
+        return valuesByPath;
     }
 
-    private static void flatten(String path, Object value, Map<String, String> textsByPath) {
+    private static void flatten(String path, Object value, Map<String, String> valuesByPath) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, field) -> flatten(path.isEmpty() ? "" + name : path + "." + name, field, textsByPath));
+            map.forEach((name, field) -> flatten(path.isEmpty() ? "" + name : path + "." + name, field, valuesByPath));
         } else if (value instanceof List<?> list) {
-            flattenList(path, list, textsByPath);
+            flattenList(path, list, valuesByPath);
         } else if (value != null) {
-            textsByPath.put(path, value.toString());
+            valuesByPath.put(path, value.toString());
         }
     }
 
-    private static void flattenList(String path, List<?> list, Map<String, String> textsByPath) {
+    private static void flattenList(String path, List<?> list, Map<String, String> valuesByPath) {
         if (list.stream().noneMatch(Map.class::isInstance)) {
-            textsByPath.put(
+            valuesByPath.put(
                     path, String.join(",", list.stream().map(String::valueOf).toList()));
             return;
         }
-        textsByPath.put(path + ".count", "" + list.size());
+        valuesByPath.put(path + ".count", "" + list.size());
         for (int i = 0; i < list.size(); i++) {
-            flatten(path + "." + i, list.get(i), textsByPath);
+            flatten(path + "." + i, list.get(i), valuesByPath);
         }
     }
 }
--- a/src/main/java/loadbalancer/wire/BatchReply.java
+++ b/src/main/java/loadbalancer/wire/BatchReply.java
@@ -3,26 +3,26 @@
 import java.util.Base64;
 import loadbalancer.balancing.Balancer;
 
-/** The reply to one batch: the actions of the instances, each group of lines under its instance's name. */
+/** The reply to one batch: the actions of the instances, grouped under the names of their instances. */
 final class BatchReply {
     private static final int INITIAL_CAPACITY = 1 << 16;
 
     private final StringBuilder lines = new StringBuilder(INITIAL_CAPACITY);
     private String currentInstance;
 
-    /** Starts the next batch's reply. */
+    /** Discards the lines of the previous batch. */
     void clear() {
         lines.setLength(0);
         currentInstance = null;
     }
 
-    /** The whole reply, with its last line. */
+    /** Appends the closing line and returns the whole reply. */
     String finish() {
         return lines.append("OK\n").toString();
     }
 
-    /** Writes that the instance has failed; its error is one line. */
-    void die(String instance, RuntimeException error) {
+    /** Reports that the instance's balancer threw {@code error}, on one line. */
+    void reportFailure(String instance, RuntimeException error) {
         StackTraceElement[] trace = error.getStackTrace();
         line(instance, "DIE ")
                 .append(error.toString().replace('\n', ' '))
@@ -30,7 +30,7 @@
                 .append('\n');
     }
 
-    /** Actions that are written under the instance's name. */
+    /** Returns actions that append their lines to the reply under the instance's name. */
     Balancer.Actions actionsOf(String instance) {
         return new InstanceActions(instance);
     }
--- a/src/main/java/loadbalancer/wire/EndpointPages.java
+++ b/src/main/java/loadbalancer/wire/EndpointPages.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import loadbalancer.balancing.Balancer.Upstream;
 
-/** The endpoint lists sent ahead of the events that name them, by number. */
+/** Endpoint lists (pages), by number. The simulator sends a page before the events that refer to it. */
 final class EndpointPages {
     private static final int MAX_PAGES = 16;
 
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Reads the rows of a page whose first line has been read. */
+    /** Reads the rows of a page; {@code header} is its first line. */
     void read(FieldReader header, BufferedReader in) throws IOException {
         int number = (int) header.integer();
         if (number < 0 || number >= pages.size()) {
@@ -31,15 +31,15 @@
             if (line == null) {
                 throw new WireException("the input ended within a PAGE");
             }
-            entries.add(row(line));
+            entries.add(parseRow(line));
         }
         pages.set(number, entries);
     }
 
-    private static Upstream row(String line) {
+    private static Upstream parseRow(String line) {
         FieldReader fields = new FieldReader(line);
         if (!fields.text().equals("ROW")) {
-            throw new WireException("a PAGE holds ROW lines, not '" + line + "'");
+            throw new WireException("expected a ROW line in a PAGE, found '" + line + "'");
         }
         String zone = fields.text();
         String id = fields.text();
@@ -51,7 +51,7 @@
         return new Upstream(id, zone, kind, cell, startedMicros, weight, WireValues.upstreamState(state, line));
     }
 
-    /** The page of this number. */
+    /** Returns the endpoint list of page {@code number}. */
     List<Upstream> get(int number) {
         List<Upstream> entries = number >= 0 && number < pages.size() ? pages.get(number) : null;
         if (entries == null) {
--- a/src/main/java/loadbalancer/wire/FieldReader.java
+++ b/src/main/java/loadbalancer/wire/FieldReader.java
@@ -1,14 +1,14 @@
 package loadbalancer.wire;
 
-/** Reads one line of the wire field by field; {@code -} stands for an absent value. */
+/** Reads the space-separated fields of one protocol line; {@code -} stands for an absent value. */
 final class FieldReader {
     private static final String ABSENT = "-";
-    /** Digits that surely fit a {@code long}. */
+    /** Any number with this many digits fits a {@code long}. */
     private static final int MAX_DIGITS = 18;
-    /** Whole numbers up to this are exact as {@code double}. */
-    private static final double MAX_EXACT = 1e15;
-    /** Characters of a line shown in an error. */
-    private static final int MAX_EXCERPT = 120;
+    /** Whole numbers below this limit are exact as {@code double}. */
+    private static final double EXACT_LIMIT = 1e15;
+    /** Maximum number of characters of a line that an error shows. */
+    private static final int MAX_EXCERPT_LENGTH = 120;
 
     private final String line;
     private int position;
@@ -35,7 +35,7 @@
         return value;
     }
 
-    /** The next field, or null where it is absent or the line has ended. */
+    /** Returns the next field; null if it is absent or the line has ended. */
     String textOrNull() {
         if (!hasMore()) {
             return null;
@@ -67,7 +67,7 @@
         int length = value.length();
         int firstDigit = length > 1 && value.charAt(0) == '-' ? 1 : 0;
         if (length - firstDigit > MAX_DIGITS) {
-            throw new WireException("'" + value + "' is no integer in '" + excerpt() + "'");
+            throw new WireException("'" + value + "' is not an integer in '" + excerpt() + "'");
         }
         long magnitude = 0;
         for (int i = firstDigit; i < length; i++) {
@@ -82,8 +82,8 @@
 
     private long parseWholeDecimal(String value) {
         double parsed = parseDecimal(value);
-        if (parsed != Math.rint(parsed) || Math.abs(parsed) >= MAX_EXACT) {
-            throw new WireException("'" + value + "' is no integer in '" + excerpt() + "'");
+        if (parsed != Math.rint(parsed) || Math.abs(parsed) >= EXACT_LIMIT) {
+            throw new WireException("'" + value + "' is not an integer in '" + excerpt() + "'");
         }
         return (long) parsed;
     }
@@ -96,12 +96,12 @@
             parsed = Double.NaN;
         }
         if (!Double.isFinite(parsed)) {
-            throw new WireException("'" + value + "' is no number in '" + excerpt() + "'");
+            throw new WireException("'" + value + "' is not a number in '" + excerpt() + "'");
         }
         return parsed;
     }
 
     private String excerpt() {
-        return line.length() > MAX_EXCERPT ? line.substring(0, MAX_EXCERPT) + "..." : line;
+        return line.length() > MAX_EXCERPT_LENGTH ? line.substring(0, MAX_EXCERPT_LENGTH) + "..." : line;
     }
 }
--- a/src/main/java/loadbalancer/wire/SimulatorHost.java
+++ b/src/main/java/loadbalancer/wire/SimulatorHost.java
@@ -23,7 +23,10 @@
 import loadbalancer.settings.SettingsException;
 import loadbalancer.settings.SettingsReader;
 
-/** Hosts many isolated balancers on the simulator's wire. Translates, decides nothing. */
+/**
+ * Hosts many isolated balancers behind the simulator's line protocol. It only translates; the balancers make all
+ * decisions.
+ */
 public final class SimulatorHost {
     private static final int BUFFER_BYTES = 1 << 16;
 
@@ -35,17 +38,17 @@
     private final Map<String, Instance> instances = new HashMap<>();
     private boolean failed;
 
-    /** One hosted instance: its balancer and the order in which its load reports name their values. */
+    /** A hosted balancer, and the names of its load report values in the order in which they are sent. */
     private record Instance(Balancer balancer, List<String> reportFields) {}
 
-    /** @param err gets one line for input that does not follow the wire */
+    /** @param err receives a one-line error if the input is invalid */
     public SimulatorHost(InputStream in, OutputStream out, PrintStream err) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
         this.out = out;
         this.err = err;
     }
 
-    /** Runs until the input ends; the exit code. */
+    /** Processes batches until the input ends, or is invalid; returns the exit code. */
     public int run() throws IOException {
         try {
             String line = in.readLine();
@@ -60,10 +63,10 @@
         }
     }
 
-    private void runBatch(String first) throws IOException {
-        FieldReader header = new FieldReader(first);
+    private void runBatch(String firstLine) throws IOException {
+        FieldReader header = new FieldReader(firstLine);
         if (!header.text().equals("MARK")) {
-            throw new WireException("a batch starts with MARK, not '" + first + "'");
+            throw new WireException("expected MARK at the start of a batch, found '" + firstLine + "'");
         }
         long nowMicros = header.integer();
         reply.clear();
@@ -118,7 +121,7 @@
         };
     }
 
-    /** Reads the whole event; the balancer is called by what is returned. */
+    /** Reads the whole event and returns the call of the balancer. */
     private Runnable translate(long nowMicros, Instance instance, String event, FieldReader fields) {
         return switch (event) {
             case "ANNOUNCE" -> endpointList(nowMicros, instance, fields);
@@ -136,8 +139,8 @@
                 yield () -> instance.balancer.onGossip(nowMicros, peer, message);
             }
             case "DEADLINE_HIT" -> {
-                String mark = fields.text();
-                yield () -> instance.balancer.onTimer(nowMicros, mark);
+                String timer = fields.text();
+                yield () -> instance.balancer.onTimer(nowMicros, timer);
             }
             default -> throw new WireException("message '" + event + "' is unknown");
         };
@@ -193,7 +196,10 @@
         return () -> instance.balancer.onHealthCheck(nowMicros, upstreamId, outcome, latencyMicros, report);
     }
 
-    /** Calls the balancer; whatever it throws is reported to the simulator, which ends the run. */
+    /**
+     * Calls the balancer. The first exception is reported to the simulator, which ends the run; later calls are
+     * skipped.
+     */
     private void runGuarded(String instance, Runnable call) {
         if (failed) {
             return;
@@ -202,7 +208,7 @@
             call.run();
         } catch (RuntimeException exception) {
             failed = true;
-            reply.die(instance, exception);
+            reply.reportFailure(instance, exception);
         }
     }
 }
--- a/src/main/java/loadbalancer/wire/WireException.java
+++ b/src/main/java/loadbalancer/wire/WireException.java
@@ -1,6 +1,6 @@
 package loadbalancer.wire;
 
-/** Input that does not follow the simulator's wire; the message is meant for a person. */
+/** Thrown for input that violates the simulator's line protocol; the message is meant for a person. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/wire/WireValues.java
+++ b/src/main/java/loadbalancer/wire/WireValues.java
@@ -10,7 +10,7 @@
 import loadbalancer.balancing.Balancer.UpstreamState;
 import loadbalancer.settings.LoadReportBuilder;
 
-/** Maps the wire's words and numbers to the project's terms. */
+/** Converts keywords and values of the simulator's line protocol to the balancer's types. */
 final class WireValues {
     private static final String NOT_REPORTED = "-";
 
@@ -49,7 +49,7 @@
         };
     }
 
-    /** A load report from its values in the order of the settings' names; null where there is none. */
+    /** Returns a load report of comma-separated values in the order of {@code names}; null if {@code row} is null. */
     static LoadReport loadReport(String row, List<String> names) {
         if (row == null) {
             return null;
@@ -60,13 +60,13 @@
             try {
                 report.put(names.get(i), parts[i].equals(NOT_REPORTED) ? -1 : Double.parseDouble(parts[i]));
             } catch (NumberFormatException exception) {
-                throw new WireException("load report '" + row + "' holds a value that is no number");
+                throw new WireException("load report '" + row + "' has a value that is not a number");
             }
         }
         return report.build();
     }
 
-    /** A message's bytes; none where it is absent. */
+    /** Decodes a message; empty if it is absent. */
     static byte[] bytes(String base64) {
         try {
             return base64 == null ? new byte[0] : Base64.getDecoder().decode(base64);
@@ -75,7 +75,7 @@
         }
     }
 
-    /** The path=value pairs of the rest of a line. */
+    /** Reads the path=value pairs in the rest of a line. */
     static Map<String, String> settings(FieldReader fields) {
         Map<String, String> values = new HashMap<>();
         while (fields.hasMore()) {
--- a/src/main/java/loadbalancer/wire/package-info.java
+++ b/src/main/java/loadbalancer/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Hosts balancers on the simulator's wire, a line protocol over standard input and output. */
+/** Hosts balancers for a simulator, which drives them by a line protocol over standard input and output. */
 package loadbalancer.wire;
--- a/src/test/java/loadbalancer/json/JsonObjectTest.java
+++ b/src/test/java/loadbalancer/json/JsonObjectTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/** Fields are read one by one, and errors name them. */
+/** Tests parsing, reading of fields with errors that name them, flattening and writing. */
 class JsonObjectTest {
     private static JsonObject parse(String text) {
         return JsonObject.parse(text.getBytes(StandardCharsets.UTF_8));
@@ -40,21 +40,21 @@
     }
 
     @Test
-    void namesAFieldOfTheWrongType() {
+    void reportsAFieldThatIsMissingOrOfTheWrongType() {
         JsonObject json = parse("{\"n\":7,\"l\":[1],\"t\":\"x\"}");
-        Map<String, Executable> wrong = Map.of(
-                "'n' is not a text", () -> json.string("n"),
+        Map<String, Executable> callsByError = Map.of(
+                "'n' is not a string", () -> json.string("n"),
                 "'t' is not a number", () -> json.integer("t"),
                 "'t' is not true or false", () -> json.flag("t"),
                 "'n' is not an object", () -> json.object("n"),
-                "'l' holds what is no object", () -> json.objects("l"),
+                "'l' has an element that is not an object", () -> json.objects("l"),
                 "'none' is missing", () -> json.string("none"));
-        wrong.forEach((message, call) ->
+        callsByError.forEach((message, call) ->
                 assertEquals(message, assertThrows(JsonException.class, call).getMessage()));
     }
 
     @Test
-    void rejectsWhatIsNoObjectInOneLine() {
+    void rejectsInvalidInputWithAOneLineError() {
         for (String text : new String[] {
             "",
             "[]",
@@ -72,18 +72,18 @@
             "{\"a\":01}"
         }) {
             JsonException exception = assertThrows(JsonException.class, () -> parse(text), text);
-            assertTrue(exception.getMessage().startsWith("no JSON object"), text + ": " + exception.getMessage());
+            assertTrue(exception.getMessage().startsWith("not a JSON object"), text + ": " + exception.getMessage());
             assertEquals(1, exception.getMessage().lines().count(), text);
         }
     }
 
     @Test
-    void boundsNesting() {
+    void limitsNesting() {
         assertThrows(JsonException.class, () -> parse("{\"a\":" + "[".repeat(100_000) + "]".repeat(100_000) + "}"));
     }
 
     @Test
-    void flattensValuesByTheirPaths() {
+    void flattensValuesToPaths() {
         assertEquals(
                 Map.of("a.b", "1", "l", "x,2", "o.count", "2", "o.0.c", "true", "o.1.c", "false"),
                 parse("{\"a\":{\"b\":1},\"l\":[\"x\",2],\"o\":[{\"c\":true},{\"c\":false}],\"n\":null}")
@@ -120,7 +120,7 @@
             try {
                 JsonObject.parse(bytes).flattened();
             } catch (JsonException exception) {
-                assertTrue(exception.getMessage().startsWith("no JSON object"), exception.getMessage());
+                assertTrue(exception.getMessage().startsWith("not a JSON object"), exception.getMessage());
             }
         }
     }
--- a/src/test/java/loadbalancer/wire/SimulatorHostTest.java
+++ b/src/test/java/loadbalancer/wire/SimulatorHostTest.java
@@ -9,6 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Tests the translation between the simulator's line protocol and the balancer, and errors for invalid input. */
 class SimulatorHostTest {
     private static final String SETTINGS = "me=0 balancers=2 zone=z kinds=k azs=z profiles.count=1 profiles.0.name=c "
             + "profiles.0.semantics=safe profiles.0.objective_us=300000 profiles.0.give_up_us=800000 "
@@ -33,15 +34,15 @@
         errorOutput = standardError.toString(StandardCharsets.UTF_8);
     }
 
-    private void assertRejected(String input, String because) throws Exception {
+    private void assertRejected(String input, String expectedError) throws Exception {
         run(input);
         assertEquals(1, exitCode);
         assertEquals(1, errorOutput.lines().count(), errorOutput);
-        assertTrue(errorOutput.contains(because), errorOutput);
+        assertTrue(errorOutput.contains(expectedError), errorOutput);
     }
 
     @Test
-    void aRequestIsSentAndTheUnknownSettingSkipped() throws Exception {
+    void sendsARequestAndIgnoresAnUnknownSetting() throws Exception {
         run(STARTED_INSTANCE + "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\nEND\n");
         assertEquals(0, exitCode, errorOutput);
         assertTrue(output.contains("BY sidecar-0\nASSIGN 0f up_a 802000\n"), output);
@@ -49,16 +50,16 @@
     }
 
     @Test
-    void closingOnADrainAndAWordToOnePeerAreWritten() throws Exception {
-        for (boolean set : new boolean[] {true, false}) {
-            String start = set
+    void writesConnectionClosingAndGossipWhenConfigured() throws Exception {
+        for (boolean configured : new boolean[] {true, false}) {
+            String start = configured
                     ? STARTED_INSTANCE.replace("new.key=1", "rules.close_on_drain_within_us=500000 limits.peers=true")
                     : STARTED_INSTANCE;
             run(start + "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\nEND\n"
                     + "MARK 9000\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a GOOD 7000 1 0,1\nEND\n"
                     + "MARK 10000\nPAGE 4 1\nROW z up_a k 0 - 1 2\nINSTANCE sidecar-0\nANNOUNCE 2 2 4\n"
                     + "DEADLINE_HIT tell\nEND\n");
-            if (set) {
+            if (configured) {
                 assertEquals(0, exitCode, errorOutput);
                 assertTrue(output.contains("LET_GO up_a\n"), output);
                 assertTrue(output.contains("WRITE_PEER 1 "), output);
@@ -69,14 +70,14 @@
     }
 
     @Test
-    void anEmptyBatchIsAnswered() throws Exception {
+    void repliesToAnEmptyBatch() throws Exception {
         run("MARK 7\nEND\n");
         assertEquals("OK\n", output);
         assertEquals(0, exitCode);
     }
 
     @Test
-    void outcomesAndLateWordsOfUnknownRequestsAreTaken() throws Exception {
+    void acceptsOutcomesAndExpiryOfUnknownRequests() throws Exception {
         run(STARTED_INSTANCE + "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\n"
                 + "REPORT_BACK ff 0 up_x GOOD 5 1 -\nEXPIRED ee\nEND\n"
                 + "MARK 9000\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a GOOD 7000 1 0,1\nMAIL 1 AAAA\nEND\n");
@@ -85,9 +86,9 @@
     }
 
     @Test
-    void malformedInputGetsOnePlainLine() throws Exception {
+    void rejectsMalformedInputWithAOneLineError() throws Exception {
         assertRejected("HELLO\n", "MARK");
-        assertRejected("MARK x\nEND\n", "no number");
+        assertRejected("MARK x\nEND\n", "not a number");
         assertRejected("MARK 5\n", "ended within a batch");
         assertRejected("MARK 5\nINSTANCE sidecar-0\nACCEPT 1\nEND\n", "has not started");
         assertRejected("MARK 5\nACCEPT 1\nEND\n", "before any INSTANCE");
@@ -100,14 +101,14 @@
     }
 
     @Test
-    void anErrorOfTheModuleIsReportedWithItsCause() throws Exception {
+    void reportsAnExceptionOfTheBalancerWithItsMessage() throws Exception {
         run(STARTED_INSTANCE + "MARK 6\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - nosuch\nEND\n");
         assertEquals(0, exitCode);
         assertTrue(output.contains("DIE ") && output.contains("nosuch"), output);
     }
 
     @Test
-    void aKilledInstanceStartsAnew() throws Exception {
+    void restartsAnInstanceAfterDown() throws Exception {
         run(STARTED_INSTANCE + "MARK 6\nINSTANCE sidecar-0\nDOWN\nENLIST 6 " + SETTINGS + "\nANNOUNCE 4 1 3\n"
                 + "ACCEPT 0f - 0 0 - 800000 - c\nEND\n");
         assertEquals(0, exitCode, errorOutput);
