--- a/src/main/java/loadbalancer/operator/ControlOptions.java
+++ b/src/main/java/loadbalancer/operator/ControlOptions.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * How a sidecar subscribes to its configuration at the control tier.
+ * Options of a sidecar's subscription to its configuration at the control tier.
  *
- * @param tier         with one scope, the service of this sidecar
+ * @param tier         the control tier; its only scope is the service of this sidecar
  * @param listen       local address of the subscription
- * @param nearReplicas numbers of the preferred replicas; empty where none is nearer than another
+ * @param nearReplicas numbers of the replicas to prefer; empty if there is no preference
  */
 public record ControlOptions(ControlTier tier, InetSocketAddress listen, List<Integer> nearReplicas) {}
--- a/src/main/java/loadbalancer/operator/ControlTier.java
+++ b/src/main/java/loadbalancer/operator/ControlTier.java
@@ -9,19 +9,20 @@
 import loadbalancer.toml.ConfigurationTable;
 
 /**
- * What replicas and subscribers of a control tier have in common: keys of the table {@code [control]} that the files of both have.
+ * Options that replicas and subscribers of a control tier share: the keys of the table {@code [control]} that occur in
+ * the files of both.
  *
- * @param group    with the scopes of this process
- * @param replicas addresses of the replicas, by their numbers
+ * @param group    the control group, with the scopes of this process
+ * @param replicas addresses of the replicas, indexed by replica number
  */
 public record ControlTier(ControlGroup group, List<InetSocketAddress> replicas) {
-    /** Bound on the size of the tier; a majority of few is enough. */
+    /** Limits the size of the tier; a majority of a few replicas is enough. */
     private static final int MAX_REPLICAS = 31;
 
     /**
      * Reads {@code fleet}, {@code replicas}, {@code voters}, {@code lease} and {@code subscriber_lease}.
      *
-     * @throws ConfigurationException where one of them is wrong
+     * @throws ConfigurationException if the value of one of them is invalid
      */
     public static ControlTier read(ConfigurationTable table, List<String> scopes) throws ConfigurationException {
         List<InetSocketAddress> replicas = addresses(table);
--- a/src/main/java/loadbalancer/operator/OperatorConfiguration.java
+++ b/src/main/java/loadbalancer/operator/OperatorConfiguration.java
@@ -11,16 +11,16 @@
 import loadbalancer.zones.ZoneOptions;
 
 /**
- * What the operator's file turns on; a part that is null is off.
+ * The options of the operator's file. A component that is null means that its subsystem is off.
  *
- * @param membership how endpoint lists are judged by their age; off they are used as they are
- * @param grpc       the gRPC listener
- * @param traces     which requests are traced, and where to
- * @param zones      how zones fail over and recover; off they are not told apart
- * @param subset     how many upstreams one sidecar of many connects to; off it is all
- * @param jsonLog    whether events are printed as lines of JSON
- * @param consensus  how the sidecars agree on zone policies; off each goes by its own file
- * @param control    how this sidecar subscribes to a control tier
+ * @param membership how old endpoint lists may be used; if off, lists are used whatever their age
+ * @param grpc       the gRPC listener and its upstream connections
+ * @param traces     trace sampling and export
+ * @param zones      failover between zones and recovery; if off, zones are ignored
+ * @param subset     how many upstreams each sidecar connects to; if off, all of them
+ * @param jsonLog    whether events are logged as JSON, one object per line
+ * @param consensus  agreement of the sidecars on zone policies; if off, each sidecar applies its own file
+ * @param control    subscription of this sidecar to a control tier
  */
 public record OperatorConfiguration(
         MembershipOptions membership,
@@ -31,10 +31,10 @@
         boolean jsonLog,
         ConsensusOptions consensus,
         ControlOptions control) {
-    /** Without a file: everything is off. */
+    /** The configuration without an operator's file: every subsystem is off. */
     public static final OperatorConfiguration NONE = new OperatorConfiguration(null, null, null, null, null, false);
 
-    /** A configuration without agreement on zone policies. */
+    /** Creates a configuration with {@code consensus} and {@code control} off. */
     public OperatorConfiguration(
             MembershipOptions membership,
             GrpcOptions grpc,
@@ -45,34 +45,38 @@
         this(membership, grpc, traces, zones, subset, jsonLog, null, null);
     }
 
-    /** The staleness policy of endpoint lists; where membership is off, the one that accepts all. */
+    /** Returns the staleness policy of endpoint lists; if membership is off, the policy that accepts every list. */
     public StalenessPolicy staleness() {
         return membership == null ? StalenessPolicy.ACCEPT_ALL : membership.staleness();
     }
 
     /**
-     * How far endpoint lists are trusted, and where they are stored.
+     * Staleness policy and storage of endpoint lists.
      *
-     * @param staleness             how far lists are trusted by their age
-     * @param discoverySpreadMicros the first call to discovery waits a random part of this, so that a fleet does not rush it
-     * @param disk                  where lists are stored; null where they are not
+     * @param staleness             how lists are used depending on their age
+     * @param discoverySpreadMicros upper bound of the random delay before the first call to discovery, so that a fleet
+     *                              that starts at once does not overload it
+     * @param disk                  storage of lists on disk; null if lists are not stored
      */
     public record MembershipOptions(StalenessPolicy staleness, long discoverySpreadMicros, DiskOptions disk) {}
 
     /**
      * The gRPC listener and its connections to upstreams.
      *
-     * @param listen                 its address
-     * @param maxConnections         client connections at the same time
-     * @param maxStreams             streams of one client connection at the same time
-     * @param maxUpstreamConnections connections to one upstream at the same time
-     * @param maxUpstreamStreams     streams of each of them, or fewer where the upstream says so; streaming calls get three quarters
-     * @param upstreamPingMicros     a connection with open streams that is silent for so long is pinged
-     * @param streamDrainMicros      how long open streams go on once their upstream, or this sidecar, is draining
-     * @param tenantHeader           metadata key of the tenant, or empty
-     * @param customerHeader         metadata key of what a call is about, or empty
-     * @param routeTable             finds the route of a path
-     * @param routes                 all routes; the last one is for all methods that no other names
+     * @param listen                 address of the listener
+     * @param maxConnections         maximum number of concurrent client connections
+     * @param maxStreams             maximum number of concurrent streams per client connection
+     * @param maxUpstreamConnections maximum number of concurrent connections to one upstream
+     * @param maxUpstreamStreams     maximum number of concurrent streams per upstream connection, or the upstream's own
+     *                               limit if that is lower; streaming calls may use three quarters of all streams to
+     *                               an upstream
+     * @param upstreamPingMicros     how long a connection with open streams may be silent before it is pinged
+     * @param streamDrainMicros      how long open streams may continue after their upstream or this sidecar starts
+     *                               draining
+     * @param tenantHeader           metadata key that holds the tenant, or empty
+     * @param customerHeader         metadata key that holds the customer that a call is about, or empty
+     * @param routeTable             looks up the route of a path
+     * @param routes                 all routes; the last one is the fallback for methods without a route of their own
      */
     public record GrpcOptions(
             InetSocketAddress listen,
@@ -86,20 +90,21 @@
             String customerHeader,
             Routes routeTable,
             List<Route> routes) {
-        /** The route of a call; null where the path is not that of a call. */
+        /** Returns the route of a call; null if the path is not the path of a gRPC call. */
         public Route route(CharSequence path) {
             return routeTable.of(path);
         }
     }
 
     /**
-     * Which requests are traced, and where to.
+     * Trace sampling and export.
      *
+     * @param sampling              which requests are traced
      * @param service               the service name of the spans
-     * @param maxPendingTraces      traces that may wait for a receiver
-     * @param deliveryTimeoutMicros a batch that a receiver does not accept for so long is lost
-     * @param file                  null where none is written
-     * @param collector             null where there is none
+     * @param maxPendingTraces      maximum number of traces waiting for delivery to a receiver
+     * @param deliveryTimeoutMicros how long a batch is offered to a receiver before it is dropped
+     * @param file                  trace files; null if none are written
+     * @param collector             trace collector; null if there is none
      */
     public record TraceOptions(
             SamplingOptions sampling,
@@ -110,26 +115,29 @@
             CollectorOptions collector) {}
 
     /**
-     * Trace files that take turns.
+     * Rotating trace files.
      *
-     * @param maxFileBytes of each file
-     * @param maxFiles     how many there are
+     * @param folder       folder of the files
+     * @param maxFileBytes maximum size of each file
+     * @param maxFiles     number of files that are kept
      */
     public record TraceFileOptions(Path folder, int maxFileBytes, int maxFiles) {}
 
     /**
      * The trace collector.
      *
-     * @param path          of its HTTP endpoint
-     * @param timeoutMicros for a connection, and for each part of a response
+     * @param address       address of the collector
+     * @param path          path of its HTTP endpoint
+     * @param timeoutMicros timeout for connecting, and for each part of a response
      */
     public record CollectorOptions(InetSocketAddress address, String path, long timeoutMicros) {}
 
     /**
      * Endpoint lists on disk.
      *
-     * @param fleet         a list of another fleet is not read
-     * @param refreshMicros an unchanged list is written again this often, to say that it is still true
+     * @param folder        folder of the stored lists
+     * @param fleet         name of the fleet; stored lists of other fleets are ignored
+     * @param refreshMicros interval at which an unchanged list is written again, to record that it is still valid
      */
     public record DiskOptions(
             Path folder, String fleet, int maxWritesPerMinute, long refreshMicros, int maxFileBytes) {}
--- a/src/main/java/loadbalancer/operator/OperatorFile.java
+++ b/src/main/java/loadbalancer/operator/OperatorFile.java
@@ -14,11 +14,13 @@
 import loadbalancer.toml.ConfigurationTable;
 import loadbalancer.zones.ZoneOptions;
 
-/** Reads the operator's file strictly: unknown keys and values out of bounds are errors with their place. */
+/**
+ * Reads the operator's file strictly: unknown keys and values out of bounds are errors that name file, line and key.
+ */
 public final class OperatorFile {
     private OperatorFile() {}
 
-    /** Reads the options of one table, of which all keys must be known afterwards. */
+    /** Reads the options of one table. Keys that it does not read are rejected afterwards as unknown. */
     interface TableReader<T> {
         T read(ConfigurationTable table) throws ConfigurationException;
     }
@@ -26,13 +28,13 @@
     /**
      * Reads the file {@code name}.
      *
-     * @throws ConfigurationException where it can't be read, or anything in it is wrong
+     * @throws ConfigurationException if the file can't be read or is invalid
      */
     public static OperatorConfiguration read(String name) throws ConfigurationException {
         return read(ConfigurationTable.read(name));
     }
 
-    /** Reads the same from a table, which a scenario file may hold. */
+    /** Reads the same options from a table, for example one of a scenario file. */
     public static OperatorConfiguration read(ConfigurationTable root) throws ConfigurationException {
         root.rejectRenamed("accord", "[consensus]");
         OperatorConfiguration configuration = new OperatorConfiguration(
@@ -48,7 +50,7 @@
         return configuration;
     }
 
-    /** The options of the table {@code key}; null where there is no such table. */
+    /** Returns the options of the table {@code key}; null if there is no such table. */
     static <T> T readTable(ConfigurationTable parent, String key, TableReader<T> reader) throws ConfigurationException {
         ConfigurationTable table = parent.table(key);
         if (table == null) {
@@ -98,14 +100,14 @@
                 table.durationMicros("remember", "60s", "1s", "1h"));
     }
 
-    /** The zones of each tier in the order of preference; no zone is named twice. */
+    /** Returns the zones of each tier in the order of preference. A zone may be named only once. */
     static List<List<String>> tiers(ConfigurationTable zones) throws ConfigurationException {
         List<List<String>> tiers = new ArrayList<>();
-        Set<String> named = new HashSet<>();
+        Set<String> zoneNames = new HashSet<>();
         for (ConfigurationTable tier : zones.tables("tier")) {
             List<String> tierZones = tier.strings("zones");
             for (String zone : tierZones) {
-                if (!named.add(zone)) {
+                if (!zoneNames.add(zone)) {
                     throw tier.invalid("zones", "zones that no other tier has");
                 }
             }
--- a/src/main/java/loadbalancer/operator/OperatorSummary.java
+++ b/src/main/java/loadbalancer/operator/OperatorSummary.java
@@ -11,11 +11,11 @@
 import loadbalancer.trace.SamplingOptions;
 import loadbalancer.zones.ZoneOptions;
 
-/** What the operator's file turns on, as the command {@code check} prints it; its wording is stable. */
+/** Summary of the operator's file, printed by the command {@code check}. The wording of its lines is stable. */
 public final class OperatorSummary {
     private OperatorSummary() {}
 
-    /** One line or more for each subsystem. */
+    /** Returns one or more lines for each subsystem. Consensus and control have none if they are off. */
     public static List<String> describe(OperatorConfiguration configuration) {
         List<String> lines = new ArrayList<>();
         membership(configuration.membership(), lines);
--- a/src/main/java/loadbalancer/operator/PolicyFile.java
+++ b/src/main/java/loadbalancer/operator/PolicyFile.java
@@ -10,25 +10,29 @@
 import loadbalancer.zones.ZoneOptions;
 
 /**
- * Reads a zone policy that a whole fleet goes by: the part of {@code [zones]} that may change while requests are served. It is read as
- * strictly as the operator's file; zones that the platform does not know are an error, so that no sidecar accepts what another one can't.
+ * Reads a zone policy that applies to a whole fleet: the part of {@code [zones]} that may change while requests are
+ * served. Reading is as strict as for the operator's file. Zones that the platform does not know are rejected, so that
+ * no sidecar accepts a policy that another one can't apply.
  */
 public final class PolicyFile {
     /**
      * A zone policy.
      *
      * @param drainedZones zones that get no new requests
-     * @param tiers        zones in the order of preference; empty where none is preferred
+     * @param tiers        zones grouped into tiers, in the order of preference; empty if no zone is preferred
      */
     public record ZonePolicy(Set<String> drainedZones, List<List<String>> tiers) {
-        /** What is in force while some sidecars have this policy and some the next: the drained zones of both, the tiers of this one. */
+        /**
+         * Returns the policy in force while some sidecars have this policy and others already have {@code next}: the
+         * drained zones of both and the tiers of this one.
+         */
         public ZonePolicy strictestWith(ZonePolicy next) {
-            Set<String> both = new LinkedHashSet<>(drainedZones);
-            both.addAll(next.drainedZones);
-            return new ZonePolicy(both, tiers);
+            Set<String> drainedInEither = new LinkedHashSet<>(drainedZones);
+            drainedInEither.addAll(next.drainedZones);
+            return new ZonePolicy(drainedInEither, tiers);
         }
 
-        /** The operator's own options with this policy in place of theirs. */
+        /** Returns the configured zone options with their drained zones and tiers replaced by those of this policy. */
         public ZoneOptions applyTo(ZoneOptions configured) {
             return new ZoneOptions(
                     tiers,
@@ -49,10 +53,10 @@
     /**
      * Reads a policy.
      *
-     * @param known the zones that the platform names; empty where it names none
-     * @throws ConfigurationException where anything in it is wrong
+     * @param knownZones the zones that the platform knows; empty if it names none, then any zone is accepted
+     * @throws ConfigurationException if the policy is invalid
      */
-    public static ZonePolicy read(byte[] content, List<String> known) throws ConfigurationException {
+    public static ZonePolicy read(byte[] content, List<String> knownZones) throws ConfigurationException {
         ConfigurationTable root =
                 ConfigurationTable.parse("policy", new String(content, StandardCharsets.UTF_8), Map.of());
         ConfigurationTable table = root.table("zones");
@@ -60,12 +64,12 @@
             throw new ConfigurationException("policy: expected a table [zones]");
         }
         ZonePolicy policy = new ZonePolicy(new LinkedHashSet<>(table.strings("away")), OperatorFile.tiers(table));
-        Set<String> named = new LinkedHashSet<>(policy.drainedZones);
-        policy.tiers.forEach(named::addAll);
-        for (String zone : named) {
-            if (!known.isEmpty() && !known.contains(zone)) {
+        Set<String> namedZones = new LinkedHashSet<>(policy.drainedZones);
+        policy.tiers.forEach(namedZones::addAll);
+        for (String zone : namedZones) {
+            if (!knownZones.isEmpty() && !knownZones.contains(zone)) {
                 throw new ConfigurationException(
-                        "policy: [zones]: there is no zone '" + zone + "'; there are " + String.join(", ", known));
+                        "policy: [zones]: there is no zone '" + zone + "'; there are " + String.join(", ", knownZones));
             }
         }
         table.rejectUnknownKeys();
--- a/src/main/java/loadbalancer/operator/TraceOptionsReader.java
+++ b/src/main/java/loadbalancer/operator/TraceOptionsReader.java
@@ -11,7 +11,7 @@
 
 /** Reads the table {@code [traces]} of the operator's file. */
 final class TraceOptionsReader {
-    /** Visible ASCII without blanks, as a request line has it. */
+    /** Visible ASCII without spaces, so that the path can stand in a request line. */
     private static final String PATH_PATTERN = "/[!-~]{0,200}";
 
     private TraceOptionsReader() {}
--- a/src/main/java/loadbalancer/operator/package-info.java
+++ b/src/main/java/loadbalancer/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operator's file: which optional subsystems are on and how they are set. Its keys and messages are stable; a part that is missing
- * is off.
+ * The operator's file, which turns on and configures the optional subsystems. A subsystem whose table is missing is
+ * off. Keys and error messages are stable.
  */
 package loadbalancer.operator;
--- a/src/main/java/loadbalancer/toml/ConfigurationTable.java
+++ b/src/main/java/loadbalancer/toml/ConfigurationTable.java
@@ -24,11 +24,11 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a TOML file, read key by key. Keys that are read are remembered, so that {@link #rejectUnknownKeys} finds those that
- * nothing has asked for. Each error names file, line and key, and says what was expected and what was found.
+ * One table of a TOML file, read key by key. The table records which keys were read, so that {@link #rejectUnknownKeys}
+ * can find the others. Each error names file, line and key, and says what was expected and what was found.
  */
 public final class ConfigurationTable {
-    /** Numeric addresses with their port; names are never looked up. */
+    /** Numeric address with a port; host names are not accepted, so there are no DNS lookups. */
     private static final Pattern ADDRESS =
             Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:]{2,39}\\]):([0-9]{1,5})");
 
@@ -42,7 +42,7 @@
     private final TomlTable table;
     private final int line;
     private final Set<String> knownKeys = new HashSet<>();
-    /** Values that replace the file's, by qualified name; shared by all tables of the file. */
+    /** Values that replace those of the file, by qualified name; shared by all tables of the file. */
     private final Map<String, Object> overrides;
     /** Qualified names of the overrides that were read; shared by all tables of the file. */
     private final Set<String> usedOverrides;
@@ -65,7 +65,7 @@
     /**
      * Reads the root table of the file {@code name}.
      *
-     * @throws ConfigurationException where the file can't be read or is not TOML
+     * @throws ConfigurationException if the file can't be read or is not TOML
      */
     public static ConfigurationTable read(String name) throws ConfigurationException {
         try {
@@ -76,11 +76,12 @@
     }
 
     /**
-     * Parses {@code text} to a root table.
+     * Parses {@code text} as TOML and returns the root table.
      *
-     * @param name      of the file, for errors
-     * @param overrides values as TOML has them (text, long, double, boolean), by qualified key; they replace the file's
-     * @throws ConfigurationException where {@code text} is not TOML
+     * @param name      name of the file, for error messages
+     * @param overrides values of TOML types (string, long, double, boolean) that replace those of the file, by
+     *                  qualified key
+     * @throws ConfigurationException if {@code text} is not TOML
      */
     public static ConfigurationTable parse(String name, String text, Map<String, Object> overrides)
             throws ConfigurationException {
@@ -92,7 +93,7 @@
         return new ConfigurationTable(name, "", toml, 1, overrides, new HashSet<>());
     }
 
-    /** The table {@code key}; null where neither the file nor an override has one. */
+    /** Returns the table {@code key}; null if neither the file nor an override has a value in it. */
     public ConfigurationTable table(String key) throws ConfigurationException {
         Object value = value(key);
         if (value == null) {
@@ -110,35 +111,35 @@
         return new ConfigurationTable(file, qualifiedName(key), found, atLine, childOverrides, usedOverrides);
     }
 
-    /** A duration in microseconds, within bounds. */
+    /** Returns a duration in microseconds, within bounds. */
     public long durationMicros(String key, String defaultValue, String minimum, String maximum)
             throws ConfigurationException {
         return durationMicros(key, defaultValue, minimum, maximum, null);
     }
 
     /**
-     * A duration in microseconds, within bounds.
+     * Returns a duration in microseconds, within bounds.
      *
-     * @param wordForNone where the value is this word the result is -1; null where no word is allowed
+     * @param noneKeyword value for which the result is -1; null if there is no such value
      */
-    public long durationMicros(String key, String defaultValue, String minimum, String maximum, String wordForNone)
+    public long durationMicros(String key, String defaultValue, String minimum, String maximum, String noneKeyword)
             throws ConfigurationException {
         Object value = value(key);
         String text = textOf(value, defaultValue);
-        if (text.equals(wordForNone)) {
+        if (text.equals(noneKeyword)) {
             return -1;
         }
         OptionalLong micros = UnitFormat.DURATION_MICROS.parseWithin(text, minimum, maximum);
         if (micros.isEmpty()) {
             String expected = "a duration from \"" + minimum + "\" to \"" + maximum
                     + "\" with its unit (ms, s, min, h, d)"
-                    + (wordForNone == null ? "" : ", or \"" + wordForNone + "\"");
+                    + (noneKeyword == null ? "" : ", or \"" + noneKeyword + "\"");
             throw invalid(key, expected, value);
         }
         return micros.getAsLong();
     }
 
-    /** A size in bytes, within bounds. */
+    /** Returns a size in bytes, within bounds. */
     public long sizeBytes(String key, String defaultValue, String minimum, String maximum)
             throws ConfigurationException {
         Object value = value(key);
@@ -150,7 +151,10 @@
         return bytes.getAsLong();
     }
 
-    /** The text itself, the default where there is no value, and the empty text where the value is not a text. */
+    /**
+     * Returns the value if it is a string, the default if there is no value, and an empty string for a value of another
+     * type.
+     */
     private static String textOf(Object value, String defaultValue) {
         if (value == null) {
             return defaultValue;
@@ -158,7 +162,7 @@
         return value instanceof String text ? text : "";
     }
 
-    /** A whole number within bounds. */
+    /** Returns an integer within bounds. */
     public int integer(String key, int defaultValue, int minimum, int maximum) throws ConfigurationException {
         Object value = value(key);
         long number = value == null ? defaultValue : value instanceof Long found ? found : Long.MIN_VALUE;
@@ -168,7 +172,7 @@
         return (int) number;
     }
 
-    /** A number within bounds, whole or not. */
+    /** Returns an integer or floating-point number within bounds. */
     public double decimal(String key, double defaultValue, double minimum, double maximum)
             throws ConfigurationException {
         Object value = value(key);
@@ -179,12 +183,12 @@
         return number;
     }
 
-    /** Whether the file or an override has a value for {@code key}. */
+    /** Returns whether the file or an override has a value for {@code key}. */
     public boolean has(String key) {
         return value(key) != null;
     }
 
-    /** True or false. */
+    /** Returns a boolean. */
     public boolean flag(String key, boolean defaultValue) throws ConfigurationException {
         Object value = value(key);
         if (value == null) {
@@ -196,7 +200,7 @@
         return found;
     }
 
-    /** A numeric address with its port, on which this program is to listen. */
+    /** Returns a numeric address with its port; there is no default. */
     public InetSocketAddress address(String key) throws ConfigurationException {
         Object value = value(key);
         Matcher matcher = ADDRESS.matcher(textOf(value, ""));
@@ -210,7 +214,9 @@
         }
     }
 
-    /** The tables of an array, {@code [[key]]}; none where the file has no such array. No override reaches them. */
+    /**
+     * Returns the tables of the array {@code [[key]]}; empty if there is no such array. Overrides do not apply to them.
+     */
     public List<ConfigurationTable> tables(String key) throws ConfigurationException {
         Object value = value(key);
         List<ConfigurationTable> tables = new ArrayList<>();
@@ -221,11 +227,11 @@
                 }
             }
         }
-        rejectOtherElements(key, value, tables, "a list of tables, [[" + qualifiedName(key) + "]]");
+        rejectUnacceptedElements(key, value, tables, "a list of tables, [[" + qualifiedName(key) + "]]");
         return tables;
     }
 
-    /** A text that is not blank; with a null {@code defaultValue} there must be one. */
+    /** Returns a string that is not blank; the key is required if {@code defaultValue} is null. */
     public String string(String key, String defaultValue) throws ConfigurationException {
         Object value = value(key);
         String text = value == null ? defaultValue : value instanceof String found ? found : null;
@@ -235,7 +241,7 @@
         return text;
     }
 
-    /** A list of texts, none of them blank; empty where the file has no such list. */
+    /** Returns a list of strings, none of them blank; empty if there is no such list. */
     public List<String> strings(String key) throws ConfigurationException {
         Object value = value(key);
         List<String> texts = new ArrayList<>();
@@ -246,11 +252,11 @@
                 }
             }
         }
-        rejectOtherElements(key, value, texts, "a list of texts");
+        rejectUnacceptedElements(key, value, texts, "a list of texts");
         return texts;
     }
 
-    /** A list of whole numbers within bounds; empty where the file has no such list. */
+    /** Returns a list of integers within bounds; empty if there is no such list. */
     public List<Integer> integers(String key, int minimum, int maximum) throws ConfigurationException {
         Object value = value(key);
         List<Integer> numbers = new ArrayList<>();
@@ -261,19 +267,19 @@
                 }
             }
         }
-        rejectOtherElements(key, value, numbers, "a list of whole numbers from " + minimum + " to " + maximum);
+        rejectUnacceptedElements(key, value, numbers, "a list of whole numbers from " + minimum + " to " + maximum);
         return numbers;
     }
 
-    /** Rejects a value that is no array, or an array of which some elements were not accepted. */
-    private void rejectOtherElements(String key, Object value, List<?> accepted, String expected)
+    /** Rejects a value that is not an array, or an array with elements that were not accepted. */
+    private void rejectUnacceptedElements(String key, Object value, List<?> accepted, String expected)
             throws ConfigurationException {
         if (value != null && !(value instanceof TomlArray array && accepted.size() == array.size())) {
             throw invalid(key, expected, value);
         }
     }
 
-    /** Rejects keys that nothing has asked for; to be called once all keys of the table have been read. */
+    /** Rejects keys that were not read. Call it after all known keys of the table have been read. */
     public void rejectUnknownKeys() throws ConfigurationException {
         for (String key : table.keySet()) {
             if (!knownKeys.contains(key)) {
@@ -284,7 +290,10 @@
         }
     }
 
-    /** Qualified names of the overrides that no key has used, sorted; to be called once the whole file has been read. */
+    /**
+     * Returns the sorted qualified names of the overrides that were not read. Call it after the whole file has been
+     * read.
+     */
     public List<String> unusedOverrides() {
         return overrides.keySet().stream()
                 .filter(name -> !usedOverrides.contains(name))
@@ -292,14 +301,14 @@
                 .toList();
     }
 
-    /** Rejects a key that is now called {@code newName}. */
+    /** Rejects a key that was renamed to {@code newName}. */
     public void rejectRenamed(String oldName, String newName) throws ConfigurationException {
         if (table.keySet().contains(oldName)) {
             throw invalid(oldName, "its new name, " + newName, table.get(List.of(oldName)));
         }
     }
 
-    /** All values of the table, unchecked and of any TOML type, by key in alphabetical order. */
+    /** Returns all values of the table, unchecked and of any TOML type, by key in alphabetical order. */
     public Map<String, Object> values() {
         Map<String, Object> values = new TreeMap<>();
         for (String key : table.keySet()) {
@@ -308,7 +317,7 @@
         return values;
     }
 
-    /** The error that the value of {@code key} is not what was expected, for checks beyond those of this class. */
+    /** Creates the error for a value of {@code key} other than expected, for checks that this class does not have. */
     public ConfigurationException invalid(String key, String expected) {
         return invalid(key, expected, value(key));
     }
--- a/src/main/java/loadbalancer/toml/UnitFormat.java
+++ b/src/main/java/loadbalancer/toml/UnitFormat.java
@@ -5,7 +5,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Whole numbers that are written with a unit, such as {@code "250ms"} or {@code "4MiB"}. */
+/** Formats of whole numbers with a unit, such as {@code "250ms"} or {@code "4MiB"}. */
 enum UnitFormat {
     /** Durations; parsed to microseconds. */
     DURATION_MICROS(
@@ -22,7 +22,7 @@
         this.factors = factors;
     }
 
-    /** Empty where {@code text} is not of this format. */
+    /** Parses {@code text}; empty if it is not of this format. */
     OptionalLong parse(String text) {
         Matcher matcher = pattern.matcher(text);
         return matcher.matches()
@@ -30,7 +30,7 @@
                 : OptionalLong.empty();
     }
 
-    /** The value of {@code text} where it is of this format and within the bounds, which are of this format. */
+    /** Parses {@code text}; empty if it is not of this format or out of bounds. The bounds are of this format too. */
     OptionalLong parseWithin(String text, String minimum, String maximum) {
         OptionalLong parsed = parse(text);
         boolean within = parsed.isPresent()
--- a/src/test/java/loadbalancer/operator/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/operator/OperatorFileTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operator's file is read with its defaults, or rejected with the place of the error. */
+/** Tests reading the operator's file: values, defaults, and errors with their file, line and key. */
 class OperatorFileTest {
     @TempDir
     Path folder;
@@ -27,16 +27,16 @@
                 Files.writeString(folder.resolve("operator.toml"), text).toString());
     }
 
-    private void assertInvalid(String text, int line, String part) {
+    private void assertInvalid(String text, int line, String expectedPart) {
         ConfigurationException exception = assertThrows(ConfigurationException.class, () -> read(text), text);
-        String start = folder.resolve("operator.toml") + ":" + line + ": ";
-        assertTrue(exception.getMessage().startsWith(start), exception.getMessage());
-        assertTrue(exception.getMessage().contains(part), exception.getMessage());
+        String expectedStart = folder.resolve("operator.toml") + ":" + line + ": ";
+        assertTrue(exception.getMessage().startsWith(expectedStart), exception.getMessage());
+        assertTrue(exception.getMessage().contains(expectedPart), exception.getMessage());
         assertEquals(1, exception.getMessage().lines().count());
     }
 
     @Test
-    void turnsNothingOnForAnEmptyFile() throws Exception {
+    void leavesEverythingOffForAnEmptyFile() throws Exception {
         assertEquals(OperatorConfiguration.NONE, read(""));
         assertNull(read("# nothing\n").membership());
     }
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void readsTracesAndNamesTheirErrors() throws Exception {
+    void readsTracesAndReportsTheirErrors() throws Exception {
         OperatorConfiguration.TraceOptions traces =
                 read("""
                 [traces]
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void readsZonesAndNamesTheirErrors() throws Exception {
+    void readsZonesAndReportsTheirErrors() throws Exception {
         ZoneOptions zones =
                 read("""
                 [zones]
@@ -149,19 +149,22 @@
         assertInvalid("[zones]\n[[zones.tier]]\nzone = [\"a\"]\n", 3, "zone: unknown");
     }
 
-    /** Everything in it is commented out; with the comments removed each value is the default. */
+    /**
+     * The file in deploy has all keys commented out. With the comment signs removed, its staleness values are the
+     * defaults.
+     */
     @Test
-    void readsTheFileInDeployWithItsDefaults() throws Exception {
+    void readsTheFileInDeployWithAndWithoutCommentSigns() throws Exception {
         OperatorConfiguration configuration = OperatorFile.read("deploy/operator.toml");
         assertEquals(OperatorConfiguration.NONE, configuration);
-        String all = Files.readString(Path.of("deploy/operator.toml")).replaceAll("(?m)^#(?=[a-z\\[])", "");
-        OperatorConfiguration.MembershipOptions membership = read(all).membership();
+        String uncommented = Files.readString(Path.of("deploy/operator.toml")).replaceAll("(?m)^#(?=[a-z\\[])", "");
+        OperatorConfiguration.MembershipOptions membership = read(uncommented).membership();
         assertEquals("wien-termine", membership.disk().fleet());
         assertEquals(
                 read("[membership]").membership().staleness(),
                 membership.staleness(),
-                "a commented value is not the default");
-        OperatorConfiguration.GrpcOptions grpc = read(all).grpc();
+                "a commented-out value differs from the default");
+        OperatorConfiguration.GrpcOptions grpc = read(uncommented).grpc();
         assertEquals("booking-confirm", grpc.route("/zahnplan.Booking/Confirm").requestClass());
         assertEquals("slot-lookup", grpc.route("/zahnplan.Slots/Any").requestClass());
         assertEquals("booking-confirm", grpc.route("/other.Service/Any").requestClass());
@@ -169,7 +172,7 @@
     }
 
     @Test
-    void namesErrorsOfTheFileAsAWhole() {
+    void reportsErrorsOfTheFileAsAWhole() {
         assertInvalid(
                 "[members]\n",
                 1,
@@ -182,7 +185,7 @@
     }
 
     @Test
-    void namesErrorsOfMembership() {
+    void reportsErrorsOfMembership() {
         assertInvalid(
                 "[membership]\nfresch = \"1s\"\n", 2, "membership.fresch: unknown; expected one of disk, fresh, ");
         assertInvalid("[membership]\n\nfresh = \"1 s\"\n", 3, "membership.fresh: expected a duration from");
@@ -206,7 +209,7 @@
     }
 
     @Test
-    void namesErrorsOfControlAndConsensus() {
+    void reportsErrorsOfControlAndConsensus() {
         String control = "[zones]\n[control]\nfleet = \"x\"\nscope = \"booking\"\n";
         assertInvalid(control, 2, "control.replicas: expected 1 to 31 addresses, each once, found nothing");
         assertInvalid(
@@ -226,7 +229,7 @@
     }
 
     @Test
-    void namesErrorsOfLogAndSubset() {
+    void reportsErrorsOfLogAndSubset() {
         assertInvalid("[log]\nformat = \"xml\"\n", 2, "log.format: expected \"text\" or \"json\", found \"xml\"");
         assertInvalid("[subset]\nleast = 1\n", 2, "subset.least: expected a whole number from 2 to 1000, found 1");
         assertInvalid(
@@ -236,7 +239,7 @@
     }
 
     @Test
-    void namesErrorsOfGrpc() {
+    void reportsErrorsOfGrpc() {
         assertInvalid("[grpc]\nlisten = \"localhost:1\"\n", 2, "an address such as");
         assertInvalid("[grpc]\nlisten = \"127.0.0.1:1\"\n", 1, "grpc.other: expected a table");
         assertInvalid("[grpc]\nlisten = \"127.0.0.1:1\"\nmethod = 3\n", 3, "a list of tables");
--- a/src/test/java/loadbalancer/operator/PolicyFileTest.java
+++ b/src/test/java/loadbalancer/operator/PolicyFileTest.java
@@ -15,20 +15,20 @@
 import loadbalancer.toml.ConfigurationTable;
 import org.junit.jupiter.api.Test;
 
-/** Zone policies, and the options by which sidecars agree on them. */
+/** Tests reading and combining zone policies, and reading the options of the agreement on them. */
 class PolicyFileTest {
     private static ZonePolicy read(String text) throws ConfigurationException {
         return PolicyFile.read(text.getBytes(StandardCharsets.UTF_8), List.of("a", "b", "c"));
     }
 
-    private static void assertInvalid(String text, String reason) {
+    private static void assertInvalid(String text, String expectedPart) {
         String found =
                 assertThrows(ConfigurationException.class, () -> read(text)).getMessage();
-        assertTrue(found.contains(reason), found);
+        assertTrue(found.contains(expectedPart), found);
     }
 
     @Test
-    void readsZonesStrictly() throws ConfigurationException {
+    void readsZonesAndRejectsInvalidPolicies() throws ConfigurationException {
         assertEquals(
                 new ZonePolicy(Set.of("b"), List.of(List.of("a"), List.of("b", "c"))),
                 read(
@@ -42,23 +42,22 @@
         assertInvalid("[zones\n", "policy");
     }
 
-    /** The drained zones of both, the tiers of the first. */
     @Test
-    void combinesTwoPoliciesToTheStrictest() throws ConfigurationException {
+    void combinesDrainedZonesOfBothPoliciesWithTiersOfTheFirst() throws ConfigurationException {
         ZonePolicy current = read("[zones]\naway = [\"a\"]\n[[zones.tier]]\nzones = [\"c\"]\n");
         ZonePolicy next = read("[zones]\naway = [\"b\"]\n");
         assertEquals(new ZonePolicy(Set.of("a", "b"), List.of(List.of("c"))), current.strictestWith(next));
     }
 
     @Test
-    void readsConsensusOptions() throws ConfigurationException {
+    void readsConsensusOptionsAndRejectsInvalidOnes() throws ConfigurationException {
         OperatorConfiguration configuration = OperatorFile.read(
                 ConfigurationTable.parse("f", "[zones]\n[consensus]\nfleet = \"x\"\nfile = \"p.toml\"\n", Map.of()));
         assertEquals(new ConsensusOptions("x", 5, 3_000_000, Path.of("p.toml")), configuration.consensus());
         assertTrue(OperatorSummary.describe(configuration).toString().contains("consensus: "));
         assertNull(OperatorFile.read(ConfigurationTable.parse("f", "[zones]\n", Map.of()))
                 .consensus());
-        for (String[] wrong : new String[][] {
+        for (String[] invalid : new String[][] {
             {"[consensus]\nfleet = \"x\"\nfile = \"p\"\n", "[zones]"},
             {"[zones]\n[consensus]\nfleet = \"x\"\nfile = \"p\"\nvoters = 4\n", "odd"},
             {"[zones]\n[consensus]\nfile = \"p\"\n", "fleet"},
@@ -66,9 +65,9 @@
         }) {
             String found = assertThrows(
                             ConfigurationException.class,
-                            () -> OperatorFile.read(ConfigurationTable.parse("f", wrong[0], Map.of())))
+                            () -> OperatorFile.read(ConfigurationTable.parse("f", invalid[0], Map.of())))
                     .getMessage();
-            assertTrue(found.contains(wrong[1]), found);
+            assertTrue(found.contains(invalid[1]), found);
         }
     }
 }
--- a/src/test/java/loadbalancer/toml/ConfigurationTableTest.java
+++ b/src/test/java/loadbalancer/toml/ConfigurationTableTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/** Values with their bounds and overrides; the errors' places are tested with the operator's file. */
+/**
+ * Tests values, bounds and overrides of one table. Most line numbers of errors are tested in the operator's file test.
+ */
 class ConfigurationTableTest {
     private static ConfigurationTable table(String text) throws ConfigurationException {
         return ConfigurationTable.parse("file", text, Map.of());
@@ -76,7 +78,7 @@
     }
 
     @Test
-    void readsOverridesInPlaceOfTheFile() throws Exception {
+    void overridesReplaceValuesOfTheFile() throws Exception {
         ConfigurationTable table =
                 ConfigurationTable.parse("file", "[a]\nx = 1\n", Map.of("a.x", 2L, "b.y", 3L, "c.z", 4L));
 
