--- a/src/main/java/loadbalancer/operator/OperatorFile.java
+++ b/src/main/java/loadbalancer/operator/OperatorFile.java
@@ -139,7 +139,8 @@
     private static ConsensusOptions consensus(ConfigurationTable table, ConfigurationTable root)
             throws ConfigurationException {
         if (!root.has("zones")) {
-            throw table.invalid("file", "a table [zones] beside [consensus]: the fleet agrees on its away and tiers");
+            throw table.invalid(
+                    "file", "a table [zones] beside [consensus]: what is changed in common is its away and tiers");
         }
         int voters = table.integer("voters", 5, 1, 7);
         if (voters % 2 == 0) {
@@ -156,7 +157,7 @@
             throws ConfigurationException {
         if (root.has("consensus") || !root.has("zones")) {
             throw table.invalid(
-                    "scope", "a table [zones] beside [control], and no [consensus]: the scope sets its away and tiers");
+                    "scope", "a table [zones] beside [control], and no [consensus]: the scope has its away and tiers");
         }
         ControlTier tier = ControlTier.read(table, List.of(table.string("scope", null)));
         InetSocketAddress listen = table.has("listen") ? table.address("listen") : new InetSocketAddress("0.0.0.0", 0);
--- a/src/main/java/loadbalancer/operator/OperatorSummary.java
+++ b/src/main/java/loadbalancer/operator/OperatorSummary.java
@@ -34,38 +34,33 @@
     }
 
     private static String consensus(ConsensusOptions consensus) {
-        return "consensus: [zones] away and tiers are agreed on by fleet '" + consensus.fleet()
-                + "', whose first " + consensus.voters() + " sidecars vote; a sidecar whose lease of "
+        return "consensus: changes of [zones] away and tiers are decided in common by fleet '" + consensus.fleet()
+                + "', the first " + consensus.voters() + " sidecars vote; who hears nothing for "
                 + seconds(consensus.leaseMicros())
-                + " has expired keeps the last policy, which may be outdated; proposals are read from "
-                + consensus.file();
+                + " is careful; proposed from " + consensus.file();
     }
 
     private static String control(ControlTier tier) {
-        return "control: [zones] away and tiers come from scope '"
+        return "control: [zones] away and tiers are those of scope '"
                 + tier.group().scopes().get(0) + "' of control tier '"
                 + tier.group().fleet() + "' with "
-                + tier.replicas().size() + " replicas; a sidecar whose lease of "
-                + seconds(tier.group().subscriberLeaseMicros())
-                + " has expired keeps the last policy, which may be outdated";
+                + tier.replicas().size() + " replicas; who hears nothing for "
+                + seconds(tier.group().subscriberLeaseMicros()) + " is careful";
     }
 
     private static void membership(MembershipOptions membership, List<String> lines) {
         if (membership == null) {
-            lines.add("membership: off; endpoint lists are used whatever their age");
+            lines.add("membership: off; the list given at the start is taken as it is");
             return;
         }
         StalenessPolicy staleness = membership.staleness();
         lines.add("membership: a list up to " + seconds(staleness.maxFreshAgeMicros())
-                + " old is used without checks, one up to " + seconds(staleness.maxUsableAgeMicros())
-                + " after a check of each upstream, an older one not at all");
-        lines.add("membership: known_age, the age assumed for a list without a time, is "
-                + (staleness.assumedAgeMicros() < 0
-                        ? "unknown, so that the list is checked"
-                        : seconds(staleness.assumedAgeMicros())));
-        lines.add("membership: at most " + (long) staleness.checksPerSecond()
-                + " checks a second, not counting successful ones, and "
-                + staleness.maxConcurrentChecks() + " at once; the first call to discovery is made within "
+                + " old is used as it is, one up to " + seconds(staleness.maxUsableAgeMicros())
+                + " after a trial of each upstream, an older one not at all");
+        lines.add("membership: the age of 'known' is taken to be "
+                + (staleness.assumedAgeMicros() < 0 ? "unknown, perhaps long" : seconds(staleness.assumedAgeMicros())));
+        lines.add("membership: " + (long) staleness.checksPerSecond() + " trials a second without an answer, "
+                + staleness.maxConcurrentChecks() + " at once; discovery is asked within "
                 + seconds(membership.discoverySpreadMicros())
                 + " of the start");
         lines.add(disk(membership.disk()));
@@ -73,13 +68,12 @@
 
     private static String disk(DiskOptions disk) {
         if (disk == null) {
-            return "membership.disk: off; lists are not stored";
+            return "membership.disk: off; no list is kept";
         }
-        return "membership.disk: the endpoint list of fleet '" + disk.fleet()
-                + "' is stored in " + disk.folder() + ", at most " + disk.maxWritesPerMinute()
+        return "membership.disk: the list of fleet '" + disk.fleet()
+                + "' is kept in " + disk.folder() + ", at most " + disk.maxWritesPerMinute()
                 + " writes a minute and "
-                + disk.maxFileBytes() + " bytes; an unchanged list is written again every "
-                + seconds(disk.refreshMicros());
+                + disk.maxFileBytes() + " bytes, written again every " + seconds(disk.refreshMicros());
     }
 
     private static String grpc(GrpcOptions grpc) {
@@ -89,27 +83,26 @@
         return "grpc: listens on " + grpc.listen() + " for "
                 + grpc.maxConnections() + " connections of " + grpc.maxStreams() + " streams; "
                 + (grpc.routes().size() - 1)
-                + " configured names have a class of their own, all others have '"
+                + " names have a class, all others have '"
                 + grpc.routes().get(grpc.routes().size() - 1).requestClass()
-                + "'; an upstream gets " + grpc.maxUpstreamConnections() + " connections of "
-                + grpc.maxUpstreamStreams()
-                + " calls, up to three quarters of them streams, which may continue for "
-                + seconds(grpc.streamDrainMicros()) + " once the upstream or this sidecar is draining";
+                + "'; a node gets " + grpc.maxUpstreamConnections() + " connections of " + grpc.maxUpstreamStreams()
+                + " calls, three quarters of them streams, which go on for "
+                + seconds(grpc.streamDrainMicros()) + " on a node that drains";
     }
 
     private static void traces(TraceOptions traces, List<String> lines) {
         if (traces == null) {
-            lines.add("traces: off; trace headers are neither read nor written");
+            lines.add("traces: off; no header of theirs is read or written");
             return;
         }
         SamplingOptions sampling = traces.sampling();
         lines.add("traces: at most " + (long) sampling.faultsPerSecond()
-                + " a second of failed, refused, abandoned, repeated or slow requests besides a few of each kind, "
-                + (long) sampling.notablePerSecond() + " hedged or sampled by the caller, "
-                + (long) sampling.ordinaryPerSecond() + " others; a request is slow beyond "
+                + " of requests in trouble a second, beside a few of each kind, "
+                + (long) sampling.notablePerSecond() + " with second copies or kept by the client's side, "
+                + (long) sampling.ordinaryPerSecond() + " others; slow is beyond "
                 + Math.round(sampling.slowObjectiveRatio() * 100)
-                + " % of its latency objective");
-        lines.add("traces: " + traces.maxPendingTraces() + " traces may wait for delivery; "
+                + " % of the aim");
+        lines.add("traces: " + traces.maxPendingTraces() + " may wait; "
                 + (traces.file() == null
                         ? "no file"
                         : traces.file().maxFiles() + " files of "
@@ -118,36 +111,35 @@
                 + "; "
                 + (traces.collector() == null
                         ? "no collector"
-                        : "to the collector at " + traces.collector().address()
-                                + ", a batch that it does not accept is dropped after "
+                        : "to the collector at " + traces.collector().address() + ", given up after "
                                 + seconds(traces.deliveryTimeoutMicros())));
     }
 
     private static String zones(ZoneOptions zones) {
         if (zones == null) {
-            return "zones: off; zones of upstreams are ignored, and a client's own retry is handled as a new request";
+            return "zones: off; upstreams are taken one by one, and a client's own retry as a new request";
         }
         return "zones: "
                 + (zones.tiers().isEmpty() ? "none is preferred" : "preferred in the order " + zones.tiers())
                 + (zones.drainedZones().isEmpty() ? "" : "; away: " + zones.drainedZones())
-                + "; a trial request goes to an excluded zone every "
+                + "; a lost one is tried every "
                 + seconds(zones.trialIntervalMicros())
-                + " on average, the rate to a zone at most doubles in " + seconds(zones.rateDoublingMicros()) + "; "
+                + ", others take over at most twice as much in " + seconds(zones.rateDoublingMicros()) + "; "
                 + zones.maxIdempotencyKeys()
-                + " idempotency keys are kept for " + seconds(zones.idempotencyKeyRetentionMicros());
+                + " keys are remembered for " + seconds(zones.idempotencyKeyRetentionMicros());
     }
 
     private static String subset(SubsetOptions subset) {
         if (subset == null) {
-            return "subset: off; each sidecar connects to all nodes";
+            return "subset: off; a sidecar keeps to all nodes";
         }
-        return "subset: each sidecar connects to " + subset.minUpstreams()
+        return "subset: a sidecar keeps to " + subset.minUpstreams()
                 + " nodes at least, one for each " + subset.requestsPerSecondPerUpstream()
-                + " of its requests a second; nodes that leave the subset drain for at most "
+                + " of its requests a second; what it leaves may end within "
                 + seconds(subset.drainMicros())
                 + (subset.sidecarCountOverride() == 0
                         ? ""
-                        : "; the fleet is taken to have " + subset.sidecarCountOverride() + " sidecars");
+                        : "; there are " + subset.sidecarCountOverride() + " sidecars");
     }
 
     private static String seconds(long micros) {
--- a/src/main/java/loadbalancer/toml/ConfigurationTable.java
+++ b/src/main/java/loadbalancer/toml/ConfigurationTable.java
@@ -88,8 +88,7 @@
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
             TomlParseError first = toml.errors().get(0);
-            throw new ConfigurationException(
-                    name + ":" + first.position().line() + ": not valid TOML: " + first.getMessage());
+            throw new ConfigurationException(name + ":" + first.position().line() + ": no TOML: " + first.getMessage());
         }
         return new ConfigurationTable(name, "", toml, 1, overrides, new HashSet<>());
     }
--- a/src/test/java/loadbalancer/operator/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/operator/OperatorFileTest.java
@@ -177,7 +177,7 @@
                 "[members]\n",
                 1,
                 "members: unknown; expected one of consensus, control, grpc, log, membership, subset, traces, zones");
-        assertInvalid("[membership\n", 1, ": not valid TOML: ");
+        assertInvalid("[membership\n", 1, "no TOML");
         ConfigurationException exception = assertThrows(
                 ConfigurationException.class,
                 () -> OperatorFile.read(folder.resolve("none").toString()));
@@ -205,7 +205,7 @@
                 "membership.disk.folder: expected a text that is not empty, found nothing");
         assertInvalid("[membership.disk]\nfolder = \"\"\nfleet = \"f\"\n", 2, "membership.disk.folder");
         assertInvalid("[membership.disk]\nfolder = \"x\"\nfleet = \"f\"\nlargest = \"1GB\"\n", 4, "a size from");
-        assertInvalid("[membership]\nfresh = \"1s\"\nfresh = \"2s\"\n", 3, ": not valid TOML: ");
+        assertInvalid("[membership]\nfresh = \"1s\"\nfresh = \"2s\"\n", 3, "no TOML");
     }
 
     @Test
--- a/src/test/java/loadbalancer/simulation/scenario/ScenarioFileTest.java
+++ b/src/test/java/loadbalancer/simulation/scenario/ScenarioFileTest.java
@@ -52,7 +52,7 @@
                 "[operator.zones]\\ntrickle = '1ms' | t.toml:3: operator.zones.trickle: expected a duration",
                 "[search]\\nkinds = ['x'] | t.toml:3: search.kinds: expected names of events; 'x' is none",
                 "[expect]\\nserved = 'all' | t.toml:3: expect.served: expected a number",
-                "x = [ | t.toml:2: not valid TOML"
+                "x = [ | t.toml:2: no TOML"
             })
     void whatIsWrongIsNamedWithItsPlace(String text, String error) {
         ConfigurationException e = assertThrows(ConfigurationException.class, () -> read(text.replace("\\n", "\n")));
