--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -102,7 +102,7 @@
                 boolean tooLarge = request.decoderResult().cause() instanceof TooLongFrameException;
                 HttpResponseStatus status =
                         tooLarge ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST;
-                responder.respond(status.code(), "malformed HTTP request");
+                responder.respond(status.code(), "no call that can be read");
             } else {
                 handler.handle(AdminRequestParser.parse(request.method().name(), request.uri()), responder);
             }
--- a/src/main/java/loadbalancer/consensus/ContentStore.java
+++ b/src/main/java/loadbalancer/consensus/ContentStore.java
@@ -57,7 +57,7 @@
     OptionalLong put(byte[] content) {
         long version = versionOf(content);
         String reason = content.length > MAX_CONTENT_BYTES
-                ? "content has " + content.length + " bytes, at most " + MAX_CONTENT_BYTES + " are allowed"
+                ? "it has " + content.length + " bytes, " + MAX_CONTENT_BYTES + " at the most"
                 : validator.apply(content);
         downloads.remove(version);
         if (reason != null) {
--- a/src/main/java/loadbalancer/control/server/ControlServer.java
+++ b/src/main/java/loadbalancer/control/server/ControlServer.java
@@ -247,7 +247,7 @@
         try {
             fileReader.execute(() -> readAndPropose(path, scope, callback));
         } catch (RejectedExecutionException exception) {
-            callback.accept(Optional.of("too many proposals are waiting for their files to be read"));
+            callback.accept(Optional.of("too many files wait to be read"));
         }
     }
 
--- a/src/main/java/loadbalancer/sidecar/ControlTierSource.java
+++ b/src/main/java/loadbalancer/sidecar/ControlTierSource.java
@@ -13,7 +13,7 @@
 final class ControlTierSource implements ConfigurationSource {
     private static final int SCOPE = 0;
     private static final String DECIDED_BY_CONTROL_TIER =
-            "policies are decided by the control tier: propose or abort at one of its replicas";
+            "a control tier decides: call one of its replicas";
 
     private final ControlClient client;
     private final Network network;
--- a/src/main/java/loadbalancer/sidecar/OperatorActions.java
+++ b/src/main/java/loadbalancer/sidecar/OperatorActions.java
@@ -58,7 +58,7 @@
             return;
         }
         if (operator.consensus() == null) {
-            result.accept("there is no policy file: the reloaded operator's file has no [consensus]");
+            result.accept("there is no policy file any more: the operator's file has lost [consensus]");
             return;
         }
         Path file = operator.consensus().file();
@@ -72,7 +72,7 @@
                     .execute(() ->
                             result.accept(sidecar.engine().agreedConfiguration().propose(content)));
         } catch (IOException exception) {
-            sidecar.loop().execute(() -> result.accept(file + ": policy file can't be read: " + exception));
+            sidecar.loop().execute(() -> result.accept(file + ": can't be read: " + exception));
         }
     }
 
