--- a/src/main/java/loadbalancer/sidecar/ControlTierSource.java
+++ b/src/main/java/loadbalancer/sidecar/ControlTierSource.java
@@ -12,8 +12,7 @@
 /** Configuration decided by a control tier: this sidecar subscribes to its service's scope and proposes nothing. */
 final class ControlTierSource implements ConfigurationSource {
     private static final int SCOPE = 0;
-    private static final String DECIDED_BY_CONTROL_TIER =
-            "a control tier decides: call one of its replicas";
+    private static final String DECIDED_BY_CONTROL_TIER = "a control tier decides: call one of its replicas";
 
     private final ControlClient client;
     private final Network network;
